--- /dev/null
+++ b/packages/scheduling/src/job_simulation_test.cpp
@@ -0,0 +1,88 @@
+// Runs jobs under random faults on virtual time. No task may run twice at the same time or again
+// after an acknowledged end, start before the steps that it depends on are done, or exceed its
+// attempts. Every job must end.
+#include "../tests/job_simulation.h"
+
+#include <catch2/catch.hpp>
+
+#include <cstdlib>
+
+using namespace sassafrasferry;
+using namespace sassafrasferry::scheduling;
+using namespace sassafrasferry::scheduling::tests;
+
+namespace {
+
+jobs::JobSpec chainOfTwo(std::size_t width)
+{
+    jobs::StepSpec first;
+    first.count = width;
+    first.need = {1000, 100, 0};
+    first.estimate = 1s;
+    auto second = first;
+    second.after = {0};
+    return {"payload", {first, second}, 0, 0, 0ms};
+}
+
+struct Case
+{
+    const char *name;
+    FaultRates faults;
+};
+
+// Each fault alone, some combinations, and all of them together.
+const std::vector<Case> cases{
+    {"calm", {}},
+    {"answers lost", {.lostAnswer = 0.1}},
+    {"orders carried out late", {.lateOrder = 0.1}},
+    {"workers crash and return", {.crash = 0.1}},
+    {"workers go dark", {.permanentLoss = 0.05}},
+    {"workers are cut off and run on", {.partition = 0.15}},
+    {"leaders die", {.leaderLoss = 0.3}},
+    {"leaders lose the store and go on", {.storeLoss = 0.3}},
+    {"runs fail", {.failure = 0.2}},
+    {"late orders across takeovers", {.lateOrder = 0.1, .leaderLoss = 0.3, .storeLoss = 0.2}},
+    {"cuts across takeovers", {.partition = 0.15, .leaderLoss = 0.3, .storeLoss = 0.3}},
+    {"all",
+     {.lostAnswer = 0.05,
+      .lateOrder = 0.05,
+      .crash = 0.05,
+      .permanentLoss = 0.02,
+      .partition = 0.1,
+      .leaderLoss = 0.1,
+      .storeLoss = 0.1,
+      .failure = 0.1}},
+};
+
+// Can be set for manual runs: WORLD_SEEDS=1000.
+std::uint64_t seedsPerCase()
+{
+    constexpr std::uint64_t defaultCount = 25;
+    const auto *text = std::getenv("WORLD_SEEDS");
+    return text ? std::strtoull(text, nullptr, 10) : defaultCount;
+}
+
+} // namespace
+
+// Guards against a job that never ends, and against a job that runs and is billed twice. Faults
+// occur for 30 s while jobs are submitted. All jobs must end in the 60 s without faults that
+// follow.
+TEST_CASE("Every job ends exactly once under random faults")
+{
+    for (const auto &row : cases) {
+        std::size_t starts = 0;
+        for (std::uint64_t seed = 1; seed <= seedsPerCase(); ++seed) {
+            JobSimulation simulation(seed, row.faults);
+            for (int i = 0; i < 30; ++i) {
+                simulation.addJob("j" + std::to_string(i), chainOfTwo(2 + i % 8));
+                simulation.run(1s, true);
+            }
+            simulation.run(60s, false);
+            INFO(row.name << " seed " << seed);
+            CHECK(simulation.violations() == std::vector<std::string>{});
+            CHECK(simulation.unfinishedJobs() == 0);
+            starts += simulation.starts();
+        }
+        WARN(row.name << ": " << starts << " starts");
+    }
+}
--- a/packages/scheduling/tests/availability_watch.h
+++ b/packages/scheduling/tests/availability_watch.h
@@ -1,4 +1,4 @@
-// Watches the tasks of a lasting step: how many of them are away when an order ends one more.
+// Checks how many tasks of a lasting step are unavailable when an order ends another one.
 #pragma once
 
 #include <sassafrasferry/scheduling/scheduler.h>
@@ -14,10 +14,10 @@
 class AvailabilityWatch
 {
 public:
-    AvailabilityWatch(std::string job, std::size_t tasks, std::size_t mostUnavailable)
+    AvailabilityWatch(std::string job, std::size_t tasks, std::size_t maxUnavailable)
         : job(std::move(job))
         , tasks(tasks)
-        , mostUnavailable(mostUnavailable)
+        , maxUnavailable(maxUnavailable)
     {}
 
     void started(const TaskId &task, Instant now)
@@ -25,42 +25,43 @@
         this->startedAt[task] = now;
     }
 
-    /// To be called at each moment, before orders are carried out.
+    /// Must be called at each tick, before orders are executed.
     template<typename IsRunning>
-    void watch(IsRunning isRunning, Instant now)
+    void update(IsRunning isRunning, Instant now)
     {
         for (std::size_t i = 0; i < this->tasks; ++i) {
             const auto task = this->taskAt(i);
-            if (!this->isAtWork(task, isRunning, now))
+            if (!this->isServing(task, isRunning, now))
                 continue;
-            this->seenAtWork[task] = now;
+            this->lastServing[task] = now;
             this->endedByOrder.erase(task);
         }
     }
 
-    /// An order ends a task. False if too many others are away: ended by orders as well, or not at
-    /// work for `notice` by any cause.
+    /// Must be called before an order ends a task. False if too many other tasks are unavailable:
+    /// ended by orders as well, or not serving for `longAbsence` for any reason.
     template<typename IsRunning>
-    bool mayEnd(const TaskId &task, IsRunning isRunning, Instant now)
+    bool recordOrderedEnd(const TaskId &task, IsRunning isRunning, Instant now)
     {
-        if (!this->isAtWork(task, isRunning, now))
+        if (!this->isServing(task, isRunning, now))
             return true;
-        std::size_t away = 0;
+        std::size_t unavailable = 0;
         for (std::size_t i = 0; i < this->tasks; ++i) {
             const auto other = this->taskAt(i);
-            if (other == task || this->isAtWork(other, isRunning, now))
+            if (other == task || this->isServing(other, isRunning, now))
                 continue;
-            const auto seen = this->seenAtWork.find(other);
-            const bool isLongAway = seen == this->seenAtWork.end() || now - seen->second >= notice;
-            away += this->endedByOrder.count(other) != 0 || isLongAway ? 1 : 0;
+            const auto seen = this->lastServing.find(other);
+            const bool isLongAbsent =
+                seen == this->lastServing.end() || now - seen->second >= longAbsence;
+            unavailable += this->endedByOrder.count(other) != 0 || isLongAbsent ? 1 : 0;
         }
         this->endedByOrder.insert(task);
-        return away < this->mostUnavailable;
+        return unavailable < this->maxUnavailable;
     }
 
 private:
-    static constexpr Duration startup = 200ms; ///< until a run is at work
-    static constexpr Duration notice = 4500ms;
+    static constexpr Duration startupTime = 200ms; ///< until a started run is serving
+    static constexpr Duration longAbsence = 4500ms;
 
     TaskId taskAt(std::size_t index) const
     {
@@ -68,19 +69,19 @@
     }
 
     template<typename IsRunning>
-    bool isAtWork(const TaskId &task, IsRunning isRunning, Instant now) const
+    bool isServing(const TaskId &task, IsRunning isRunning, Instant now) const
     {
         const auto started = this->startedAt.find(task);
-        return started != this->startedAt.end() && now - started->second >= startup
+        return started != this->startedAt.end() && now - started->second >= startupTime
                && isRunning(task);
     }
 
     std::string job;
     std::size_t tasks;
-    std::size_t mostUnavailable;
+    std::size_t maxUnavailable;
     std::map<TaskId, Instant> startedAt;
-    std::map<TaskId, Instant> seenAtWork;
-    std::set<TaskId> endedByOrder; // and not at work since
+    std::map<TaskId, Instant> lastServing;
+    std::set<TaskId> endedByOrder; // and not serving since then
 };
 
 } // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/event_queue.h
+++ b/packages/scheduling/tests/event_queue.h
@@ -1,4 +1,4 @@
-// What is to happen on virtual time, in the order of its moments.
+// Callbacks on virtual time, called in the order of their times.
 #pragma once
 
 #include <sassafrasferry/policy/time.h>
@@ -14,19 +14,19 @@
 class EventQueue
 {
 public:
-    /// Events of one moment happen in the order in which they were added.
-    void add(policy::Instant at, std::function<void()> happen)
+    /// Events with the same time are called in the order in which they were added.
+    void add(policy::Instant at, std::function<void()> callback)
     {
-        this->events.push({at, ++this->lastNumber, std::move(happen)});
+        this->events.push({at, ++this->lastNumber, std::move(callback)});
     }
 
-    /// Lets everything happen that is due, also what these events add.
+    /// Calls all due events, including those that are added meanwhile.
     void run(policy::Instant now)
     {
         while (!this->events.empty() && this->events.top().at <= now) {
             const auto event = this->events.top();
             this->events.pop();
-            event.happen();
+            event.callback();
         }
     }
 
@@ -35,7 +35,7 @@
     {
         policy::Instant at;
         std::uint64_t number = 0;
-        std::function<void()> happen;
+        std::function<void()> callback;
 
         bool operator>(const Event &other) const
         {
--- /dev/null
+++ b/packages/scheduling/tests/fault_rates.h
@@ -0,0 +1,34 @@
+// Fault rates and times of a `JobSimulation`.
+#pragma once
+
+#include <sassafrasferry/policy/time.h>
+
+namespace sassafrasferry::scheduling::tests {
+
+using policy::Duration;
+using namespace std::chrono_literals;
+
+/// Probabilities of faults: per second for a worker or the leader, otherwise per call or run.
+struct FaultRates
+{
+    double lostAnswer = 0; ///< the answer to an order or a hold is lost
+    double lateOrder = 0; ///< a start or stop is executed 2 to 12 s late and is not answered
+    double crash = 0; ///< a worker dies and is restarted with the same id
+    double permanentLoss = 0; ///< a worker disappears for good without notice
+    double partition = 0; ///< no call reaches a worker for 1 to 9 s, and its tasks keep running
+    double leaderLoss = 0; ///< the leader dies
+    double storeLoss = 0; ///< the leader loses the store, and keeps sending orders for seconds
+    double failure = 0; ///< a run fails
+};
+
+/// Times of the I/O around the scheduler, which the simulation performs in its place.
+struct SimulationTimes
+{
+    /// How long a leader may send orders after it lost the store.
+    Duration orderLimit = 6500ms;
+    Duration takeover = 1600ms; ///< until another leader starts
+    Duration holdInterval = 100ms; ///< between two holds at a worker
+    Duration writeDelay = 30ms; ///< until a row is in the store
+};
+
+} // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/fault_order_world.h
+++ b/packages/scheduling/tests/fault_sequence_simulation.h
@@ -1,14 +1,14 @@
-// Leaders, three VMs, a plain and a lasting job and a maintenance wave on virtual time, where each
-// fault strikes at a moment that the test sets: for trying orders of events one after the other. It
-// checks that no task runs twice, that orders take away no more lasting tasks than may be
-// unavailable, and that no VM is lost to the leader.
+// A simulation of leaders, three VMs, a plain and a lasting job and a maintenance wave on virtual
+// time. The test sets the time of each fault, so that it can try many sequences of faults. The
+// simulation checks that no task runs twice, that orders end no more lasting tasks at a time than
+// may be unavailable, and that the leader keeps using every reachable VM.
 #pragma once
 
 #include "availability_watch.h"
 #include "event_queue.h"
-#include "fault_order.h"
-#include "promises.h"
+#include "injected_fault.h"
 #include "sim_fleet.h"
+#include "task_invariants.h"
 
 #include <memory>
 
@@ -16,41 +16,41 @@
 
 using namespace std::chrono_literals;
 
-class FaultOrderWorld
+class FaultSequenceSimulation
 {
 public:
-    explicit FaultOrderWorld(std::vector<FaultAt> faults)
+    explicit FaultSequenceSimulation(std::vector<TimedFault> faults)
         : faults(std::move(faults))
     {
         this->specs["plain"] = {"payload", {stepOf(false)}, 0, 0, 0ms};
         this->specs["lasting"] = {"payload", {stepOf(true)}, 0, 0, 0ms};
-        this->lead();
+        this->startLeader();
     }
 
     void run()
     {
         for (this->tick = 0; this->tick < tickCount; ++this->tick) {
             this->now += tickTime;
-            this->strike();
+            this->injectDueFaults();
             this->events.run(this->now);
             for (auto &worker : this->fleet.workers) {
                 if (worker.alive)
-                    worker.run(this->now, this->eventsOf(worker));
+                    worker.run(this->now, this->callbacksFor(worker));
             }
-            if (this->leadAt != Instant{} && this->now >= this->leadAt) {
-                this->leadAt = {};
-                this->lead();
+            if (this->nextLeaderAt != Instant{} && this->now >= this->nextLeaderAt) {
+                this->nextLeaderAt = {};
+                this->startLeader();
             }
             for (const auto &leader : this->leaders)
                 this->runLeader(leader);
         }
-        this->checkUse();
+        this->checkVmsInUse();
     }
 
     std::vector<std::string> violations() const
     {
-        auto all = this->promises.violations;
-        all.insert(all.end(), this->broken.begin(), this->broken.end());
+        auto all = this->invariants.violations;
+        all.insert(all.end(), this->otherViolations.begin(), this->otherViolations.end());
         return all;
     }
 
@@ -60,21 +60,24 @@
     static constexpr int tickCount = 120;
     static constexpr Duration tickTime = 100ms;
     static constexpr std::size_t lastingTasks = 2;
-    static constexpr std::size_t mostUnavailable = 1;
-    static constexpr std::uint32_t mostAttempts = 4;
-    static constexpr Duration orderLimit = 6500ms; ///< a leader orders that long without the store
-    static constexpr Duration takeover = 1600ms; ///< until another leads
-    static constexpr Duration holdWait = 1s; ///< until a hold without an end is answered
-    static constexpr Duration retry = 100ms; ///< of a worker that was not reached
-    static constexpr Duration patience = 800ms; ///< until a call counts as unanswered
+    static constexpr std::size_t maxUnavailable = 1;
+    static constexpr std::uint32_t maxAttempts = 4;
+    /// How long a leader may send orders after it lost the store.
+    static constexpr Duration orderLimit = 6500ms;
+    static constexpr Duration takeover = 1600ms; ///< until another leader starts
+    static constexpr Duration holdWait = 1s; ///< until a hold is answered if no run ends
+    static constexpr Duration retryDelay = 100ms; ///< until an unreachable worker is called again
+    static constexpr Duration callTimeout = 800ms;
     static constexpr Duration holdDelay = 300ms;
-    static constexpr Duration lateness = 2500ms; ///< of an order that is carried out late
-    static constexpr Duration darkFor = 8s;
-    static constexpr Duration cutFor = 6s;
-    static constexpr Duration migration = 1500ms; ///< until a maintained VM has its next worker
+    static constexpr Duration lateOrderDelay = 2500ms; ///< until a delayed order is executed
+    static constexpr Duration downTime = 8s;
+    static constexpr Duration partitionTime = 6s;
+    /// Until a VM in maintenance has a new worker.
+    static constexpr Duration maintenanceTime = 1500ms;
     static constexpr Duration listPeriod = 1s;
-    static constexpr Duration plainTime = 2s; ///< of a task that does not last
-    static constexpr Duration settling = 2s; ///< until a VM that returned is in use again
+    static constexpr Duration plainTime = 2s; ///< run time of a task of the plain job
+    /// Until a VM that became reachable again must be in use.
+    static constexpr Duration rejoinTime = 2s;
 
     struct SimLeader
     {
@@ -92,13 +95,13 @@
         bool readsStore = true;
         bool writesStore = true;
         Instant confirmedAt;
-        Instant listedAt{};
-        std::map<std::string, Instant> holdAt; // of each worker: when it is asked again
+        Instant vmsListedAt{};
+        std::map<std::string, Instant> nextHoldAt; // by worker: when the next hold is sent
     };
 
     static jobs::QueueTerms terms()
     {
-        return {"q", "s", 0, mostAttempts, 2, 600ms};
+        return {"q", "s", 0, maxAttempts, 2, 600ms};
     }
 
     static jobs::StepSpec stepOf(bool lasting)
@@ -109,83 +112,84 @@
         step.estimate = 1s;
         step.lasting = lasting;
         step.perVmLimit = lasting ? 1 : 0;
-        step.maxUnavailable = lasting ? mostUnavailable : 0;
+        step.maxUnavailable = lasting ? maxUnavailable : 0;
         return step;
     }
 
-    void later(Duration delay, std::function<void()> happen)
+    void runAfter(Duration delay, std::function<void()> callback)
     {
-        this->events.add(this->now + delay, std::move(happen));
+        this->events.add(this->now + delay, std::move(callback));
     }
 
-    void strike()
+    void injectDueFaults()
     {
         for (const auto &fault : this->faults) {
             if (fault.tick == this->tick)
-                this->strike(fault);
+                this->inject(fault);
         }
     }
 
-    void strike(const FaultAt &fault)
+    void inject(const TimedFault &fault)
     {
         auto &worker = this->fleet.workerAt(fault.vm);
         switch (fault.fault) {
-        case OrderFault::WorkerRestarts:
+        case InjectedFault::WorkerRestarts:
             this->fleet.restart(worker, SimFleet::entryDelay, this->now);
             break;
-        case OrderFault::WorkerRestartsUnnoticed:
+        case InjectedFault::WorkerRestartsUnnoticed:
             this->fleet.restart(worker, SimFleet::lateEntryDelay, this->now);
             break;
-        case OrderFault::WorkerDark:
+        case InjectedFault::WorkerDown:
             worker.alive = false;
             worker.runs.clear();
-            this->later(darkFor, [this, &worker] {
+            this->runAfter(downTime, [this, &worker] {
                 worker.alive = true;
                 this->fleet.restart(worker, SimFleet::entryDelay, this->now);
             });
             break;
-        case OrderFault::WorkerCut:
-            worker.cutUntil = this->now + cutFor;
+        case InjectedFault::WorkerPartitioned:
+            worker.partitionedUntil = this->now + partitionTime;
             break;
-        case OrderFault::HoldsDelayed:
-            for (auto &entry : this->leaders.back()->holdAt)
+        case InjectedFault::HoldsDelayed:
+            for (auto &entry : this->leaders.back()->nextHoldAt)
                 entry.second = std::max(entry.second, this->now) + holdDelay;
             break;
-        case OrderFault::LeaderDies:
+        case InjectedFault::LeaderDies:
             this->leaders.back()->alive = false;
-            this->leadAt = this->now + takeover;
+            this->nextLeaderAt = this->now + takeover;
             break;
-        case OrderFault::LeaderLosesStore:
+        case InjectedFault::LeaderLosesStore:
             this->leaders.back()->readsStore = false;
             [[fallthrough]];
-        case OrderFault::LeaderCannotWrite:
+        case InjectedFault::LeaderCannotWrite:
             this->leaders.back()->writesStore = false;
-            this->leadAt = this->now + takeover;
+            this->nextLeaderAt = this->now + takeover;
             break;
         default:
-            ++this->armed[fault.fault];
+            ++this->pendingFaults[fault.fault];
         }
     }
 
-    bool takeArmed(OrderFault fault)
+    bool takePendingFault(InjectedFault fault)
     {
-        auto &count = this->armed[fault];
+        auto &count = this->pendingFaults[fault];
         if (count == 0)
             return false;
         --count;
         return true;
     }
 
-    SimWorkerEvents eventsOf(const SimWorker &worker)
+    SimWorkerCallbacks callbacksFor(const SimWorker &worker)
     {
-        return {[this, id = worker.id](const RunKey &key) { this->checkStart(id, key); },
-                [this] {
-                    return SimRun{this->now + this->durationOf(this->lastStarted), false};
-                },
-                [this](const TaskId &task, jobs::RunEnd end) { this->promises.ended(task, end); },
-                [this](const ListedEnd &end) {
-                    this->promises.noted(end);
-                }};
+        return {
+            [this, id = worker.id](const RunKey &key) { this->checkStart(id, key); },
+            [this] {
+                return SimRun{this->now + this->durationOf(this->lastStarted), false};
+            },
+            [this](const TaskId &task, jobs::RunEnd end) { this->invariants.runEnded(task, end); },
+            [this](const ListedEnd &end) {
+                this->invariants.endAcknowledged(end);
+            }};
     }
 
     void checkStart(const std::string &worker, const RunKey &key)
@@ -197,7 +201,7 @@
                     others.push_back({other.id, run.first});
             }
         }
-        this->promises.checkStart(worker, key, others, this->specs.at(key.task.job));
+        this->invariants.checkStart(worker, key, others, this->specs.at(key.task.job));
         this->availability.started(key.task, this->now);
         this->lastStarted = key.task;
     }
@@ -207,38 +211,40 @@
         return task.job == "lasting" ? Duration(1h) : Duration(plainTime);
     }
 
-    void note(const std::string &what)
+    void addViolation(const std::string &what)
     {
-        this->broken.push_back(what + " at " + std::to_string(this->tick));
+        this->otherViolations.push_back(what + " at " + std::to_string(this->tick));
     }
 
-    /// An order is about to end a task.
+    /// Called before an order ends a task.
     void checkEnd(const TaskId &task)
     {
         const auto isRunning = [this](const TaskId &any) {
             return this->fleet.isRunning(any);
         };
-        if (task.job == "lasting" && !this->availability.mayEnd(task, isRunning, this->now))
-            this->note("an order ended " + jobs::toString(task) + " while others were away");
+        if (task.job == "lasting"
+            && !this->availability.recordOrderedEnd(task, isRunning, this->now))
+            this->addViolation("an order ended " + jobs::toString(task)
+                               + " while others were away");
     }
 
-    /// The newest leader uses every VM that it reaches.
-    void checkUse()
+    /// Checks that the newest leader uses every VM that it can reach.
+    void checkVmsInUse()
     {
         auto &scheduler = this->leaders.back()->scheduler;
         for (std::size_t i = 0; i < vmCount; ++i) {
             const auto &vm = this->fleet.vms[i];
             const auto *worker = scheduler.workerOf(vm.name);
             const auto &incarnation = this->fleet.workerAt(i);
-            const bool isSound = vm.state == VmState::Up && incarnation.alive
-                                 && this->now - incarnation.bornAt > settling
-                                 && this->now - incarnation.cutUntil > settling;
-            if (isSound && this->leaders.back()->alive && (!worker || !worker->surveyed))
-                this->note(vm.name + " is not used any more");
+            const bool isUsable = vm.state == VmState::Up && incarnation.alive
+                                  && this->now - incarnation.startedAt > rejoinTime
+                                  && this->now - incarnation.partitionedUntil > rejoinTime;
+            if (isUsable && this->leaders.back()->alive && (!worker || !worker->surveyed))
+                this->addViolation(vm.name + " is not used any more");
         }
     }
 
-    void lead()
+    void startLeader()
     {
         const auto fence = static_cast<std::int64_t>(this->leaders.size() + 1);
         auto leader = std::make_shared<SimLeader>(fence, this->now);
@@ -252,7 +258,8 @@
         for (const auto &entry : this->specs) {
             auto job = std::make_unique<Job>(entry.first, entry.second, terms(), this->now);
             job->inherited = fence > 1;
-            if (const auto row = this->rows.find(entry.first); row != this->rows.end()) {
+            if (const auto row = this->storedProgress.find(entry.first);
+                row != this->storedProgress.end()) {
                 job->restore(row->second);
                 job->recordedChanges = job->changes;
             }
@@ -277,15 +284,15 @@
     {
         if (!leader->alive || this->now - leader->confirmedAt >= orderLimit)
             return;
-        this->availability.watch([this](const TaskId &task) { return this->fleet.isRunning(task); },
-                                 this->now);
+        this->availability.update(
+            [this](const TaskId &task) { return this->fleet.isRunning(task); }, this->now);
         if (leader->readsStore)
             this->listEntries(*leader);
         if (leader->writesStore) {
             leader->confirmedAt = this->now;
             for (const auto &row :
                  leader->scheduler.takeDirty(30, [](const std::string &) { return true; })) {
-                this->rows[row.id] = row.row;
+                this->storedProgress[row.id] = row.row;
                 leader->scheduler.recorded(row);
             }
         }
@@ -298,29 +305,30 @@
             this->hold(leader, id);
         if (!leader->alive)
             return;
-        this->order(leader);
+        this->sendOrders(leader);
         if (leader->writesStore)
-            this->orderVms(leader);
+            this->sendVmOrders(leader);
     }
 
-    // One hold is always under way; it is answered at its end, or fails with the worker's
-    // incarnation.
+    // A leader always has one pending hold at each worker. The hold is answered at once if runs
+    // have ended or the leader has not surveyed the worker yet, otherwise after `holdWait`. It
+    // fails if the worker's incarnation ends.
     void hold(const std::shared_ptr<SimLeader> &leader, const std::string &id)
     {
-        auto &next = leader->holdAt[id];
+        auto &next = leader->nextHoldAt[id];
         if (this->now < next)
             return;
         auto &worker = this->fleet.worker(id);
         const auto until = leader->scheduler.leaseUntil(id, this->now);
-        if (!worker.isReached(this->now)) {
-            next = this->now + retry;
+        if (!worker.isReachable(this->now)) {
+            next = this->now + retryDelay;
             return;
         }
         const bool isSurvey = !leader->scheduler.findWorker(id)->surveyed;
         const auto asked = this->now;
         const auto acknowledged = leader->scheduler.acknowledged(id);
         const auto first =
-            worker.hold(leader->fence, acknowledged, until, this->now, this->eventsOf(worker));
+            worker.hold(leader->fence, acknowledged, until, this->now, this->callbacksFor(worker));
         if (!first) {
             leader->alive = false;
             return;
@@ -331,12 +339,12 @@
             leader->scheduler.report(*first, asked, this->now);
             return;
         }
-        this->later(wait, [this, leader, id, asked, born = worker.born] {
+        this->runAfter(wait, [this, leader, id, asked, born = worker.born] {
             auto &answering = this->fleet.worker(id);
-            if (!leader->alive || !answering.isReached(this->now) || answering.born != born)
+            if (!leader->alive || !answering.isReachable(this->now) || answering.born != born)
                 return;
             const auto report = answering.hold(leader->fence, 0, std::nullopt, this->now,
-                                               this->eventsOf(answering));
+                                               this->callbacksFor(answering));
             if (report)
                 leader->scheduler.report(*report, asked, this->now);
             else
@@ -349,40 +357,40 @@
                   bool isLost, Call call, Answered answered)
     {
         const auto answer = [this, leader, answered](OrderAnswer result, Duration delay) {
-            this->later(delay, [leader, answered, result] {
+            this->runAfter(delay, [leader, answered, result] {
                 if (leader->alive)
                     answered(result);
             });
         };
         if (isLate) {
-            this->later(lateness, [this, id, call] {
+            this->runAfter(lateOrderDelay, [this, id, call] {
                 auto &worker = this->fleet.worker(id);
-                if (worker.isReached(this->now))
+                if (worker.isReachable(this->now))
                     call(worker);
             });
-            answer(OrderAnswer::NoAnswer, patience);
+            answer(OrderAnswer::NoAnswer, callTimeout);
             return;
         }
         auto &worker = this->fleet.worker(id);
-        if (!worker.isReached(this->now)) {
-            answer(OrderAnswer::NoAnswer, patience);
+        if (!worker.isReachable(this->now)) {
+            answer(OrderAnswer::NoAnswer, callTimeout);
             return;
         }
         const auto result = call(worker);
-        answer(isLost ? OrderAnswer::NoAnswer : result, isLost ? patience : tickTime);
+        answer(isLost ? OrderAnswer::NoAnswer : result, isLost ? callTimeout : tickTime);
     }
 
-    void order(const std::shared_ptr<SimLeader> &leader)
+    void sendOrders(const std::shared_ptr<SimLeader> &leader)
     {
         const auto orders = leader->scheduler.plan(this->now, 0);
         for (const auto &stop : orders.stops) {
             this->exchange(
-                leader, stop.worker, this->takeArmed(OrderFault::StopLate), false,
+                leader, stop.worker, this->takePendingFault(InjectedFault::StopLate), false,
                 [this, stop, fence = leader->fence](SimWorker &worker) {
                     const bool isHere = worker.runs.count({stop.task, stop.run}) != 0;
                     if (isHere && fence >= worker.fence)
                         this->checkEnd(stop.task);
-                    return worker.stop(stop, fence, this->eventsOf(worker));
+                    return worker.stop(stop, fence, this->callbacksFor(worker));
                 },
                 [this, leader, stop](OrderAnswer answer) {
                     leader->scheduler.stopAnswered(stop, answer, this->now);
@@ -395,10 +403,11 @@
                 continue;
             }
             this->exchange(
-                leader, start.worker, this->takeArmed(OrderFault::StartLate),
-                this->takeArmed(OrderFault::StartUnanswered),
+                leader, start.worker, this->takePendingFault(InjectedFault::StartLate),
+                this->takePendingFault(InjectedFault::StartUnanswered),
                 [this, start, until, fence = leader->fence](SimWorker &worker) {
-                    return worker.start(start, *until, fence, this->now, this->eventsOf(worker));
+                    return worker.start(start, *until, fence, this->now,
+                                        this->callbacksFor(worker));
                 },
                 [this, leader, start](OrderAnswer answer) {
                     leader->scheduler.startAnswered(start, answer, this->now);
@@ -406,17 +415,17 @@
         }
     }
 
-    void orderVms(const std::shared_ptr<SimLeader> &leader)
+    void sendVmOrders(const std::shared_ptr<SimLeader> &leader)
     {
-        if (this->now - leader->listedAt >= listPeriod) {
-            leader->listedAt = this->now;
+        if (this->now - leader->vmsListedAt >= listPeriod) {
+            leader->vmsListedAt = this->now;
             leader->planner.listVms(this->fleet.vms, this->now);
         }
         for (const auto &order : leader->planner.plan(leader->scheduler, this->now, 0)) {
             const auto vm = static_cast<std::size_t>(std::stoul(order.vm.substr(2)));
-            const bool isLost = this->takeArmed(OrderFault::VmOrderUnanswered);
-            const auto answer = this->carryOut(order, vm);
-            this->later(isLost ? patience : tickTime, [this, leader, order, answer, isLost] {
+            const bool isLost = this->takePendingFault(InjectedFault::VmOrderUnanswered);
+            const auto answer = this->execute(order, vm);
+            this->runAfter(isLost ? callTimeout : tickTime, [this, leader, order, answer, isLost] {
                 if (leader->alive)
                     leader->planner.answered(order, isLost ? FleetAnswer::NoAnswer : answer,
                                              leader->scheduler, this->now);
@@ -424,7 +433,7 @@
         }
     }
 
-    FleetAnswer carryOut(const FleetOrder &order, std::size_t vm)
+    FleetAnswer execute(const FleetOrder &order, std::size_t vm)
     {
         if (order.action != FleetAction::Maintain)
             return FleetAnswer::Impossible;
@@ -432,24 +441,25 @@
         const auto answer =
             this->fleet.maintain(vm, [this](const TaskId &task) { this->checkEnd(task); });
         if (isNew && answer == FleetAnswer::Accepted)
-            this->later(migration, [this, vm] { this->fleet.join(vm, this->now); });
+            this->runAfter(maintenanceTime, [this, vm] { this->fleet.startWorker(vm, this->now); });
         return answer;
     }
 
-    std::vector<FaultAt> faults;
+    std::vector<TimedFault> faults;
     int tick = 0;
     Instant now = Instant(1h);
-    Instant leadAt{};
+    Instant nextLeaderAt{};
     SimFleet fleet{vmCount, this->now};
-    std::vector<std::shared_ptr<SimLeader>> leaders; // the last one is the newest
+    std::vector<std::shared_ptr<SimLeader>> leaders; // the newest is last
     EventQueue events;
-    std::map<OrderFault, int> armed; // faults that wait for the next order of their kind
+    // The number of faults that will hit the next order of their kind.
+    std::map<InjectedFault, int> pendingFaults;
     std::map<std::string, jobs::JobSpec> specs;
-    std::map<std::string, messages::JobProgress> rows; // the store
+    std::map<std::string, messages::JobProgress> storedProgress; // the store, by job
     TaskId lastStarted;
-    Promises promises{mostAttempts};
-    AvailabilityWatch availability{"lasting", lastingTasks, mostUnavailable};
-    std::vector<std::string> broken; // beside the promises
+    TaskInvariants invariants{maxAttempts};
+    AvailabilityWatch availability{"lasting", lastingTasks, maxUnavailable};
+    std::vector<std::string> otherViolations; // beside those of `invariants`
 };
 
 } // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/job_world.h
+++ b/packages/scheduling/tests/job_simulation.h
@@ -1,12 +1,13 @@
-// A world of workers and leaders on virtual time, with faults drawn from a seed: answers are lost,
-// orders are carried out seconds late, workers crash, go dark, are cut off and are restarted, and
-// leaders die or go on without the store. It checks what callers were promised at each start.
+// A simulation of workers and leaders on virtual time with random faults from a seed: answers are
+// lost, orders are executed seconds late, workers crash, disappear for good, are partitioned or
+// restarted, and leaders die or continue without the store. Each start of a task is checked against
+// the guarantees given to callers.
 #pragma once
 
 #include "event_queue.h"
-#include "faults.h"
-#include "promises.h"
+#include "fault_rates.h"
 #include "sim_worker.h"
+#include "task_invariants.h"
 
 #include <algorithm>
 #include <deque>
@@ -16,63 +17,63 @@
 
 namespace sassafrasferry::scheduling::tests {
 
-class JobWorld
+class JobSimulation
 {
 public:
-    JobWorld(std::uint64_t seed, Faults faults)
+    JobSimulation(std::uint64_t seed, FaultRates faults)
         : random(seed)
         , faults(faults)
     {
         for (int i = 0; i < workerCount; ++i)
             this->addWorker();
-        this->lead();
+        this->startLeader();
     }
 
     void addJob(const std::string &id, jobs::JobSpec spec)
     {
-        this->intake[id] = spec;
+        this->submittedJobs[id] = spec;
         for (auto &leader : this->leaders) {
             if (leader->hasStore)
-                this->give(*leader, id);
+                this->addJobTo(*leader, id);
         }
     }
 
-    /// Runs for a while, with faults or without.
+    /// Advances virtual time by `duration`.
     void run(Duration duration, bool withFaults)
     {
         const auto end = this->now + duration;
         while (this->now < end) {
             this->now += step;
             if (withFaults)
-                this->drawFaults();
+                this->injectFaults();
             this->events.run(this->now);
             this->runWorkers();
             this->runLeaders();
         }
     }
 
-    /// Jobs that are not over.
-    std::size_t openJobs() const
+    /// The number of jobs that have not reached a final state.
+    std::size_t unfinishedJobs() const
     {
         std::size_t open = 0;
-        for (const auto &entry : this->intake) {
-            const auto row = this->rows.find(entry.first);
-            const bool isOver = row != this->rows.end()
-                                && jobs::isFinal(static_cast<JobState>(row->second.state()));
-            open += isOver ? 0 : 1;
+        for (const auto &entry : this->submittedJobs) {
+            const auto row = this->storedProgress.find(entry.first);
+            const bool isFinished = row != this->storedProgress.end()
+                                    && jobs::isFinal(static_cast<JobState>(row->second.state()));
+            open += isFinished ? 0 : 1;
         }
         return open;
     }
 
-    /// What was broken of what callers were promised.
+    /// The violated guarantees, one text for each violation.
     const std::vector<std::string> &violations() const
     {
-        return this->promises.violations;
+        return this->invariants.violations;
     }
 
     std::size_t starts() const
     {
-        return this->promises.starts;
+        return this->invariants.starts;
     }
 
     std::size_t takeovers = 0;
@@ -80,7 +81,7 @@
 private:
     static constexpr int workerCount = 6;
     static constexpr Duration step = 5ms;
-    static constexpr std::uint32_t mostAttempts = 4;
+    static constexpr std::uint32_t maxAttempts = 4;
 
     struct SimLeader
     {
@@ -95,7 +96,7 @@
         bool alive = true;
         bool hasStore = true;
         Instant confirmedAt;
-        std::map<std::string, Instant> holdAt; // of each worker: when the next hold is sent
+        std::map<std::string, Instant> nextHoldAt; // by worker: when the next hold is sent
         std::deque<std::pair<Instant, DirtyJob>> writes;
     };
 
@@ -104,73 +105,74 @@
         return std::uniform_real_distribution<double>(0, 1)(this->random) < probability;
     }
 
-    Duration between(Duration least, Duration most)
+    Duration randomDuration(Duration least, Duration most)
     {
         return Duration(std::uniform_int_distribution<Duration::rep>(least.count(),
                                                                      most.count())(this->random));
     }
 
-    void later(Duration delay, std::function<void()> happen)
+    void runAfter(Duration delay, std::function<void()> callback)
     {
-        this->events.add(this->now + delay, std::move(happen));
+        this->events.add(this->now + delay, std::move(callback));
     }
 
     void addWorker()
     {
         SimWorker worker;
         worker.id = "w" + std::to_string(this->workers.size());
-        worker.born = ++this->births;
-        worker.bornAt = this->now;
+        worker.born = ++this->incarnationCount;
+        worker.startedAt = this->now;
         worker.clockRate = std::uniform_real_distribution<double>(0.98, 1)(this->random);
         this->workers.push_back(worker);
     }
 
-    void drawFaults()
+    void injectFaults()
     {
         const double tick = policy::seconds(step);
         for (std::size_t i = 0; i < this->workers.size(); ++i) {
             if (!this->workers[i].alive)
                 continue;
             if (this->chance(this->faults.crash * tick))
-                this->workers[i].rebirth(++this->births, this->now);
-            if (this->chance(this->faults.cut * tick))
-                this->workers[i].cutUntil = this->now + this->between(1s, 9s);
-            if (this->chance(this->faults.dark * tick)) {
+                this->workers[i].restart(++this->incarnationCount, this->now);
+            if (this->chance(this->faults.partition * tick))
+                this->workers[i].partitionedUntil = this->now + this->randomDuration(1s, 9s);
+            if (this->chance(this->faults.permanentLoss * tick)) {
                 this->workers[i].alive = false;
-                this->workers[i].gone = true;
+                this->workers[i].isLost = true;
                 this->workers[i].runs.clear();
                 this->addWorker();
             }
         }
         auto &leader = *this->leaders.back();
         const bool dies = this->chance(this->faults.leaderLoss * tick);
-        const bool isCut = !dies && this->chance(this->faults.storeCut * tick);
-        if (!leader.alive || !leader.hasStore || (!dies && !isCut))
+        const bool losesStore = !dies && this->chance(this->faults.storeLoss * tick);
+        if (!leader.alive || !leader.hasStore || (!dies && !losesStore))
             return;
         leader.alive = !dies;
         leader.hasStore = false;
-        this->leadAt = this->now + this->times.takeover;
+        this->nextLeaderAt = this->now + this->times.takeover;
     }
 
     void runWorkers()
     {
         for (auto &worker : this->workers) {
             if (worker.alive)
-                worker.run(this->now, this->eventsOf(worker));
+                worker.run(this->now, this->callbacksFor(worker));
         }
     }
 
-    SimWorkerEvents eventsOf(const SimWorker &worker)
+    SimWorkerCallbacks callbacksFor(const SimWorker &worker)
     {
-        return {[this, id = worker.id](const RunKey &key) { this->checkStart(id, key); },
-                [this] {
-                    const auto endsAt = this->now + this->between(200ms, 2500ms);
-                    return SimRun{endsAt, this->chance(this->faults.failure)};
-                },
-                [this](const TaskId &task, jobs::RunEnd end) { this->promises.ended(task, end); },
-                [this](const ListedEnd &end) {
-                    this->promises.noted(end);
-                }};
+        return {
+            [this, id = worker.id](const RunKey &key) { this->checkStart(id, key); },
+            [this] {
+                const auto endsAt = this->now + this->randomDuration(200ms, 2500ms);
+                return SimRun{endsAt, this->chance(this->faults.failure)};
+            },
+            [this](const TaskId &task, jobs::RunEnd end) { this->invariants.runEnded(task, end); },
+            [this](const ListedEnd &end) {
+                this->invariants.endAcknowledged(end);
+            }};
     }
 
     void checkStart(const std::string &worker, const RunKey &key)
@@ -184,11 +186,10 @@
                     others.push_back({other.id, run.first});
             }
         }
-        this->promises.checkStart(worker, key, others, this->intake.at(key.task.job));
+        this->invariants.checkStart(worker, key, others, this->submittedJobs.at(key.task.job));
     }
 
-    // Leaders.
-    void lead()
+    void startLeader()
     {
         ++this->takeovers;
         const auto fence = static_cast<std::int64_t>(this->takeovers);
@@ -200,9 +201,9 @@
         configuration.queues.push_back(queue);
         leader->scheduler.setConfiguration(configuration);
         this->leaders.push_back(leader);
-        for (const auto &entry : this->intake)
-            this->give(*leader, entry.first);
-        this->list(*leader);
+        for (const auto &entry : this->submittedJobs)
+            this->addJobTo(*leader, entry.first);
+        this->listWorkers(*leader);
         leader->scheduler.knowsAllWorkers();
     }
 
@@ -211,26 +212,26 @@
         jobs::QueueTerms terms;
         terms.queue = "q";
         terms.service = "s";
-        terms.maxAttempts = mostAttempts;
+        terms.maxAttempts = maxAttempts;
         terms.stretch = 2;
         return terms;
     }
 
-    void give(SimLeader &leader, const std::string &id)
+    void addJobTo(SimLeader &leader, const std::string &id)
     {
-        auto job = std::make_unique<Job>(id, this->intake[id], terms(), this->now);
+        auto job = std::make_unique<Job>(id, this->submittedJobs[id], terms(), this->now);
         job->inherited = leader.fence > 1;
-        if (const auto row = this->rows.find(id); row != this->rows.end()) {
+        if (const auto row = this->storedProgress.find(id); row != this->storedProgress.end()) {
             job->restore(row->second);
             job->recordedChanges = job->changes;
         }
         leader.scheduler.addJob(std::move(job));
     }
 
-    void list(SimLeader &leader)
+    void listWorkers(SimLeader &leader)
     {
         for (const auto &worker : this->workers) {
-            if (worker.gone && leader.fence == 1)
+            if (worker.isLost && leader.fence == 1)
                 continue;
             WorkerListing listing;
             listing.id = worker.id;
@@ -241,72 +242,72 @@
         }
     }
 
-    bool mayOrder(const SimLeader &leader) const
+    bool canSendOrders(const SimLeader &leader) const
     {
         return leader.alive && this->now - leader.confirmedAt < this->times.orderLimit;
     }
 
     void runLeaders()
     {
-        if (this->leadAt != Instant{} && this->now >= this->leadAt) {
-            this->leadAt = {};
-            this->lead();
+        if (this->nextLeaderAt != Instant{} && this->now >= this->nextLeaderAt) {
+            this->nextLeaderAt = {};
+            this->startLeader();
         }
         for (const auto &leader : this->leaders) {
-            if (!this->mayOrder(*leader))
+            if (!this->canSendOrders(*leader))
                 continue;
             if (leader->hasStore) {
                 leader->confirmedAt = this->now;
-                this->list(*leader);
-                this->record(*leader);
+                this->listWorkers(*leader);
+                this->writeRows(*leader);
             }
             this->hold(leader);
-            this->order(leader);
+            this->sendOrders(leader);
         }
     }
 
-    void record(SimLeader &leader)
+    void writeRows(SimLeader &leader)
     {
         for (auto &row : leader.scheduler.takeDirty(30, [](const std::string &) { return true; }))
-            leader.writes.push_back({this->now + this->times.record, std::move(row)});
+            leader.writes.push_back({this->now + this->times.writeDelay, std::move(row)});
         while (!leader.writes.empty() && leader.writes.front().first <= this->now) {
             const auto row = leader.writes.front().second;
             leader.writes.pop_front();
-            this->rows[row.id] = row.row;
+            this->storedProgress[row.id] = row.row;
             leader.scheduler.recorded(row);
         }
     }
 
-    // What an exchange with a worker comes to: the call may be lost, late, or its answer lost.
+    // Calls a worker. The call may not arrive or be executed late, and its answer may be lost.
     void exchange(const std::shared_ptr<SimLeader> &leader, std::size_t index, std::int64_t born,
                   std::function<OrderAnswer(SimWorker &)> call,
                   std::function<void(OrderAnswer)> answered)
     {
         const auto timeout = 800ms;
-        const auto give = [this, leader, answered](OrderAnswer answer, Duration delay) {
-            this->later(delay, [leader, answered, answer] {
+        const auto answerAfter = [this, leader, answered](OrderAnswer answer, Duration delay) {
+            this->runAfter(delay, [leader, answered, answer] {
                 if (leader->alive)
                     answered(answer);
             });
         };
         if (this->chance(this->faults.lateOrder)) {
-            this->later(this->between(2s, 12s), [this, index, born, call] {
+            this->runAfter(this->randomDuration(2s, 12s), [this, index, born, call] {
                 auto &worker = this->workers[index];
-                if (worker.isReached(this->now) && worker.born == born)
+                if (worker.isReachable(this->now) && worker.born == born)
                     call(worker);
             });
-            give(OrderAnswer::NoAnswer, timeout);
+            answerAfter(OrderAnswer::NoAnswer, timeout);
             return;
         }
-        this->later(this->between(1ms, 20ms), [this, index, call, give, timeout] {
+        this->runAfter(this->randomDuration(1ms, 20ms), [this, index, call, answerAfter, timeout] {
             auto &worker = this->workers[index];
-            if (!worker.isReached(this->now)) {
-                give(OrderAnswer::NoAnswer, timeout);
+            if (!worker.isReachable(this->now)) {
+                answerAfter(OrderAnswer::NoAnswer, timeout);
                 return;
             }
             const auto answer = call(worker);
             const bool isLost = this->chance(this->faults.lostAnswer);
-            give(isLost ? OrderAnswer::NoAnswer : answer, isLost ? timeout : 3ms);
+            answerAfter(isLost ? OrderAnswer::NoAnswer : answer, isLost ? timeout : 3ms);
         });
     }
 
@@ -314,34 +315,34 @@
     {
         for (std::size_t i = 0; i < this->workers.size(); ++i) {
             const auto id = this->workers[i].id;
-            auto &next = leader->holdAt[id];
+            auto &next = leader->nextHoldAt[id];
             if (this->now < next || !leader->scheduler.findWorker(id))
                 continue;
-            next = this->now + this->times.hold;
+            next = this->now + this->times.holdInterval;
             const auto asked = this->now;
             const auto ack = leader->scheduler.acknowledged(id);
             const auto until = leader->scheduler.leaseUntil(id, this->now);
-            this->later(this->between(1ms, 20ms), [this, leader, i, asked, ack, until] {
+            this->runAfter(this->randomDuration(1ms, 20ms), [this, leader, i, asked, ack, until] {
                 auto &worker = this->workers[i];
-                if (!worker.isReached(this->now))
+                if (!worker.isReachable(this->now))
                     return;
                 const auto report =
-                    worker.hold(leader->fence, ack, until, this->now, this->eventsOf(worker));
+                    worker.hold(leader->fence, ack, until, this->now, this->callbacksFor(worker));
                 if (this->chance(this->faults.lostAnswer))
                     return;
-                this->later(this->between(1ms, 20ms), [this, leader, report, asked] {
+                this->runAfter(this->randomDuration(1ms, 20ms), [this, leader, report, asked] {
                     if (!leader->alive)
                         return;
                     if (report)
                         leader->scheduler.report(*report, asked, this->now);
                     else
-                        leader->alive = false; // deposed
+                        leader->alive = false; // the worker knows a newer leader
                 });
             });
         }
     }
 
-    void order(const std::shared_ptr<SimLeader> &leader)
+    void sendOrders(const std::shared_ptr<SimLeader> &leader)
     {
         const auto orders = leader->scheduler.plan(this->now, 0);
         for (const auto &start : orders.starts) {
@@ -354,7 +355,8 @@
             this->exchange(
                 leader, index, this->workers[index].born,
                 [this, start, until, fence = leader->fence](SimWorker &worker) {
-                    return worker.start(start, *until, fence, this->now, this->eventsOf(worker));
+                    return worker.start(start, *until, fence, this->now,
+                                        this->callbacksFor(worker));
                 },
                 [this, leader, start](OrderAnswer answer) {
                     leader->scheduler.startAnswered(start, answer, this->now);
@@ -365,7 +367,7 @@
             this->exchange(
                 leader, index, this->workers[index].born,
                 [this, stop, fence = leader->fence](SimWorker &worker) {
-                    return worker.stop(stop, fence, this->eventsOf(worker));
+                    return worker.stop(stop, fence, this->callbacksFor(worker));
                 },
                 [this, leader, stop](OrderAnswer answer) {
                     leader->scheduler.stopAnswered(stop, answer, this->now);
@@ -374,17 +376,17 @@
     }
 
     std::mt19937_64 random;
-    Faults faults;
-    WorldTimes times;
+    FaultRates faults;
+    SimulationTimes times;
     Instant now = Instant(1h);
-    Instant leadAt{};
+    Instant nextLeaderAt{};
     std::vector<SimWorker> workers;
-    std::vector<std::shared_ptr<SimLeader>> leaders; // the last one is the newest
-    std::int64_t births = 0;
+    std::vector<std::shared_ptr<SimLeader>> leaders; // the newest is last
+    std::int64_t incarnationCount = 0;
     EventQueue events;
-    std::map<std::string, jobs::JobSpec> intake;
-    std::map<std::string, messages::JobProgress> rows; // the store
-    Promises promises{mostAttempts};
+    std::map<std::string, jobs::JobSpec> submittedJobs;
+    std::map<std::string, messages::JobProgress> storedProgress; // the store, by job
+    TaskInvariants invariants{maxAttempts};
 };
 
 } // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/move_faults.h
+++ b/packages/scheduling/tests/move_faults.h
@@ -1,4 +1,4 @@
-// Faults around moves of VMs, of which each strikes at a moment that a test sets.
+// The faults of a `VmMoveSimulation`, with the tick at which a test injects each.
 #pragma once
 
 #include <sassafrasferry/model/names.h>
@@ -11,27 +11,27 @@
 namespace sassafrasferry::scheduling::tests {
 
 enum class MoveFault {
-    WorkerRestarts, ///< at once, under its id
-    WorkerRestartsUnnoticed, ///< the same, and its new entry is late
-    WorkerDark, ///< dies, and returns under its id after seconds
-    WorkerCut, ///< reached by nobody, and runs on
-    WorkerHangs, ///< answers no call, and carries them out once it is back
-    WorkerHangsAndDrops, ///< answers no call, and forgets them
-    WorkerGone, ///< for good; another worker answers at its address
-    EarlierEntryListed, ///< the entries of the VM's earlier workers are read once more, and stay
-    EntriesReadAgain, ///< all that stand, also of workers that have ended
-    StartLate, ///< the next start is carried out late, without an answer
-    StartUnanswered, ///< the next start is carried out, and its answer is lost
-    StopLate,
-    HoldLate, ///< the next hold is carried out late, without an answer
-    VmOrderUnanswered, ///< the next order about a VM is carried out, and its answer is lost
-    VmOrderAnsweredLate, ///< the same, and its answer comes after the VM's next worker
-    VmListBehind, ///< the platform's list of VMs is seconds old for a while
-    StoreSlow,
-    JobCancelled, ///< the newest
+    WorkerRestarts, ///< the worker restarts at once and keeps its id
+    WorkerRestartsUnnoticed, ///< as `WorkerRestarts`, but leaders see its new entry late
+    WorkerDown, ///< the worker dies, and restarts with the same id seconds later
+    WorkerPartitioned, ///< no call reaches the worker, and its tasks keep running
+    WorkerHangs, ///< the worker answers no call, and executes the calls after it recovers
+    WorkerHangsAndDrops, ///< the worker answers no call, and drops the calls
+    WorkerGone, ///< the worker is lost for good, and another one answers at its address
+    EarlierEntryListed, ///< the entries of the VM's earlier workers reappear for seconds
+    EntriesReadAgain, ///< the leader reads all existing entries again, also of ended workers
+    StartLate, ///< the next start is executed late and is not answered
+    StartUnanswered, ///< the next start is executed, but its answer is lost
+    StopLate, ///< the next stop is executed late and is not answered
+    HoldLate, ///< the next hold is executed late and is not answered
+    VmOrderUnanswered, ///< the next VM order is executed, but its answer is lost
+    VmOrderAnsweredLate, ///< the answer to the next VM order arrives after the VM's next worker
+    VmListStale, ///< for some seconds, leaders get an outdated list of VMs
+    StoreSlow, ///< for some seconds, writes to the store take longer
+    JobCancelled, ///< the newest job is cancelled
     LeaderDies,
-    LeaderCannotWrite, ///< another leads, and this one goes on ordering for a while
-    AllRestart, ///< the leader dies, and the same entry VM leads again soon
+    LeaderCannotWrite, ///< another leader starts, and this one keeps sending orders for seconds
+    AllRestart, ///< all leaders die, and the same entry VM soon starts as leader again
 };
 
 constexpr auto enumNames(MoveFault)
@@ -39,8 +39,8 @@
     return std::array{
         model::EnumName{MoveFault::WorkerRestarts, "worker restarts"},
         model::EnumName{MoveFault::WorkerRestartsUnnoticed, "worker restarts unnoticed"},
-        model::EnumName{MoveFault::WorkerDark, "worker dark"},
-        model::EnumName{MoveFault::WorkerCut, "worker cut"},
+        model::EnumName{MoveFault::WorkerDown, "worker dark"},
+        model::EnumName{MoveFault::WorkerPartitioned, "worker cut"},
         model::EnumName{MoveFault::WorkerHangs, "worker hangs"},
         model::EnumName{MoveFault::WorkerHangsAndDrops, "worker hangs and drops"},
         model::EnumName{MoveFault::WorkerGone, "worker gone"},
@@ -52,7 +52,7 @@
         model::EnumName{MoveFault::HoldLate, "hold late"},
         model::EnumName{MoveFault::VmOrderUnanswered, "VM order unanswered"},
         model::EnumName{MoveFault::VmOrderAnsweredLate, "VM order answered late"},
-        model::EnumName{MoveFault::VmListBehind, "VM list behind"},
+        model::EnumName{MoveFault::VmListStale, "VM list behind"},
         model::EnumName{MoveFault::StoreSlow, "store slow"},
         model::EnumName{MoveFault::JobCancelled, "job cancelled"},
         model::EnumName{MoveFault::LeaderDies, "leader dies"},
@@ -61,34 +61,34 @@
     };
 }
 
-constexpr bool strikesVm(MoveFault fault)
+constexpr bool targetsVm(MoveFault fault)
 {
     return fault <= MoveFault::EarlierEntryListed;
 }
 
-/// Something breaks; the others are what the platform does at any time.
+/// Whether something fails. The other faults are normal behaviour of the platform or a caller.
 constexpr bool isDisruption(MoveFault fault)
 {
     const bool isOfPlatform =
         fault == MoveFault::EarlierEntryListed || fault == MoveFault::EntriesReadAgain
         || fault == MoveFault::VmOrderUnanswered || fault == MoveFault::VmOrderAnsweredLate
-        || fault == MoveFault::VmListBehind || fault == MoveFault::JobCancelled;
+        || fault == MoveFault::VmListStale || fault == MoveFault::JobCancelled;
     return !isOfPlatform;
 }
 
-struct MoveFaultAt
+struct TimedMoveFault
 {
     MoveFault fault = MoveFault::WorkerRestarts;
-    int tick = 0; ///< when it strikes
-    std::size_t vm = 0; ///< which it strikes, if it strikes one
+    int tick = 0; ///< tick at which the fault occurs
+    std::size_t vm = 0; ///< index of the affected VM, if `targetsVm`
 };
 
-inline std::string toString(const std::vector<MoveFaultAt> &faults)
+inline std::string toString(const std::vector<TimedMoveFault> &faults)
 {
     std::string text;
     for (const auto &fault : faults) {
         text += std::string(model::nameOf(fault.fault));
-        if (strikesVm(fault.fault))
+        if (targetsVm(fault.fault))
             text += " vm" + std::to_string(fault.vm);
         text += " at " + std::to_string(fault.tick) + "; ";
     }
--- a/packages/scheduling/tests/move_fleet.h
+++ b/packages/scheduling/tests/move_fleet.h
@@ -1,5 +1,5 @@
-// VMs of two pools and a standby pool on virtual time, with the entries of their workers: those of
-// workers that have ended stand for a while.
+// The VMs and workers of a `VmMoveSimulation`, and the workers' entries in the store. The entry of
+// an ended worker remains for a short time.
 #pragma once
 
 #include "sim_worker.h"
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-/// Whether the ids of a VM's workers rise or fall from one to the next.
+/// Whether each new worker has a greater or a smaller id than the workers before it.
 enum class IdOrder {
     Rising,
     Falling,
@@ -22,10 +22,12 @@
 class MoveFleet
 {
 public:
-    static constexpr Duration entryDelay = 100ms; ///< until leaders see an entry
+    static constexpr Duration entryDelay = 100ms; ///< until leaders see a new entry
     static constexpr Duration lateEntryDelay = 1200ms;
-    static constexpr Duration entryRemains = 500ms; ///< after its worker's end
-    static constexpr Duration entryStays = 3s; ///< where it is read once more
+    /// How long an entry remains after its worker ended.
+    static constexpr Duration entryRetention = 500ms;
+    /// How long the entry of an ended worker remains when it reappears.
+    static constexpr Duration reappearedRetention = 3s;
     static constexpr const char *standby = "off";
 
     MoveFleet(const std::vector<std::string> &pools, IdOrder idOrder, Instant now)
@@ -39,26 +41,26 @@
             vm.rack = "r" + std::to_string(i);
             vm.capacity = {4000, 100000, 0};
             this->vms.push_back(vm);
-            this->present.push_back(nullptr);
+            this->currentWorkers.push_back(nullptr);
             if (pools[i] != standby)
-                this->join(i, now);
+                this->startWorker(i, now);
         }
     }
 
-    /// A new worker of a VM, with an id of its own.
-    void join(std::size_t vm, Instant now)
+    /// Starts a worker with a new id on the VM.
+    void startWorker(std::size_t vm, Instant now)
     {
         const auto number = static_cast<int>(this->workers.size());
         SimWorker worker;
         worker.id = "w"
                     + std::to_string(this->idOrder == IdOrder::Rising ? middleId + number
                                                                       : middleId - number);
-        worker.born = ++this->births;
-        worker.bornAt = now;
+        worker.born = ++this->incarnationCount;
+        worker.startedAt = now;
         this->workers.push_back(worker);
         this->vms[vm].worker = worker.id;
         this->vms[vm].state = VmState::Up;
-        this->present[vm] = &this->workers.back();
+        this->currentWorkers[vm] = &this->workers.back();
         WorkerListing listing;
         listing.id = worker.id;
         listing.vm = this->vms[vm].name;
@@ -69,21 +71,21 @@
         this->entries[worker.id] = {listing, now + entryDelay, Instant::max()};
     }
 
-    /// A worker begins anew under its id.
+    /// Restarts a worker, which keeps its id.
     void restart(SimWorker &worker, Duration entryAfter, Instant now)
     {
-        worker.rebirth(++this->births, now);
+        worker.restart(++this->incarnationCount, now);
         auto &entry = this->entries.at(worker.id);
         entry.listing.born = worker.born;
         entry.from = now + entryAfter;
     }
 
-    /// The worker of a VM ends with all that runs there. `onEnd` is told of each task.
+    /// Ends the worker of the VM and its runs. Calls `onEnd` with the task of each run.
     template<typename OnEnd>
     void endWorker(std::size_t vm, Instant now, OnEnd onEnd)
     {
-        auto *worker = this->present[vm];
-        this->present[vm] = nullptr;
+        auto *worker = this->currentWorkers[vm];
+        this->currentWorkers[vm] = nullptr;
         this->vms[vm].worker.clear();
         if (!worker)
             return;
@@ -93,16 +95,16 @@
         }
         worker->runs.clear();
         worker->alive = false;
-        this->entries.at(worker->id).until = now + entryRemains;
+        this->entries.at(worker->id).until = now + entryRetention;
     }
 
-    /// The entries of the VM's earlier workers stand once more.
-    void listEarlier(std::size_t vm, Instant now)
+    /// Makes the entries of the VM's earlier workers visible again.
+    void relistEarlierWorkers(std::size_t vm, Instant now)
     {
         for (auto &entry : this->entries) {
             if (entry.second.listing.vm == this->vms[vm].name
                 && entry.second.until != Instant::max())
-                entry.second.until = now + entryStays;
+                entry.second.until = now + reappearedRetention;
         }
     }
 
@@ -122,10 +124,10 @@
                              [&](const auto &worker) { return worker.id == id; });
     }
 
-    /// Nothing if the VM has no worker now.
+    /// Null if the VM has no worker.
     SimWorker *workerAt(std::size_t vm)
     {
-        return this->present[vm];
+        return this->currentWorkers[vm];
     }
 
     bool isRunning(const TaskId &task) const
@@ -138,23 +140,23 @@
     }
 
     std::vector<Vm> vms;
-    std::deque<SimWorker> workers; ///< of all incarnations with an id of their own
+    std::deque<SimWorker> workers; ///< all workers with an id of their own, also ended ones
     std::set<std::string> maintained; ///< names of VMs
 
 private:
     struct Entry
     {
         WorkerListing listing;
-        Instant from; ///< leaders see it from then
-        Instant until;
+        Instant from; ///< when leaders begin to see the entry
+        Instant until; ///< when leaders cease to see the entry
     };
 
     static constexpr int middleId = 500;
 
     IdOrder idOrder;
-    std::vector<SimWorker *> present; // of each VM
-    std::map<std::string, Entry> entries; // of each worker
-    std::int64_t births = 0;
+    std::vector<SimWorker *> currentWorkers; // by VM; null if it has none
+    std::map<std::string, Entry> entries; // by worker
+    std::int64_t incarnationCount = 0;
 };
 
 } // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/sim_fleet.h
+++ b/packages/scheduling/tests/sim_fleet.h
@@ -1,4 +1,4 @@
-// VMs on virtual time, each with a worker that may restart, and the entries that tell of them.
+// The VMs and workers of a `FaultSequenceSimulation`, and the workers' entries in the store.
 #pragma once
 
 #include "sim_worker.h"
@@ -15,7 +15,7 @@
 class SimFleet
 {
 public:
-    static constexpr Duration entryDelay = 100ms; ///< until leaders see an entry
+    static constexpr Duration entryDelay = 100ms; ///< until leaders see a new entry
     static constexpr Duration lateEntryDelay = 1200ms;
 
     SimFleet(std::size_t count, Instant now)
@@ -28,17 +28,17 @@
             vm.rack = "r" + std::to_string(i);
             vm.capacity = {4000, 100000, 0};
             this->vms.push_back(vm);
-            this->join(i, now);
+            this->startWorker(i, now);
         }
     }
 
-    /// A new incarnation of a VM, with an id of its own.
-    void join(std::size_t vm, Instant now)
+    /// Starts a worker with a new id on the VM.
+    void startWorker(std::size_t vm, Instant now)
     {
         SimWorker worker;
         worker.id = "w" + std::to_string(this->workers.size());
-        worker.born = ++this->births;
-        worker.bornAt = now;
+        worker.born = ++this->incarnationCount;
+        worker.startedAt = now;
         this->vms[vm].worker = worker.id;
         this->vms[vm].state = VmState::Up;
         this->workers.push_back(worker);
@@ -46,12 +46,12 @@
         this->entries[worker.id] = {worker.born, now + entryDelay};
     }
 
-    /// A worker begins anew under its id.
+    /// Restarts a worker, which keeps its id.
     void restart(SimWorker &worker, Duration entryAfter, Instant now)
     {
         if (!worker.alive)
             return;
-        worker.rebirth(++this->births, now);
+        worker.restart(++this->incarnationCount, now);
         this->entries[worker.id] = {worker.born, now + entryAfter};
     }
 
@@ -65,7 +65,7 @@
         return this->worker(this->vms[vm].worker);
     }
 
-    /// The entries of the present workers, as leaders see them.
+    /// The entries of the current workers that leaders see.
     std::vector<WorkerListing> listings(Instant now) const
     {
         std::vector<WorkerListing> result;
@@ -87,7 +87,7 @@
         return result;
     }
 
-    /// Ends the VM's worker. `onEnd` is told of each task that ends with it.
+    /// Ends the worker of the VM and its runs. Calls `onEnd` with the task of each run.
     template<typename OnEnd>
     FleetAnswer maintain(std::size_t vm, OnEnd onEnd)
     {
@@ -115,14 +115,14 @@
     }
 
     std::vector<Vm> vms;
-    std::deque<SimWorker> workers; ///< of all incarnations with an id of their own
+    std::deque<SimWorker> workers; ///< all workers with an id of their own, also ended ones
     std::set<std::string> maintained; ///< names of VMs
 
 private:
-    std::vector<std::size_t> vmOf; // of each worker
-    /// Of each worker: the birth that its entry tells, and when leaders see it.
+    std::vector<std::size_t> vmOf; // by worker
+    /// By worker: the incarnation in its entry, and when leaders begin to see the entry.
     std::map<std::string, std::pair<std::int64_t, Instant>> entries;
-    std::int64_t births = 0;
+    std::int64_t incarnationCount = 0;
 };
 
 } // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/sim_worker.h
+++ b/packages/scheduling/tests/sim_worker.h
@@ -1,4 +1,5 @@
-// A worker on virtual time: its runs, its lease, and the ends it lists until they are acknowledged.
+// A simulated worker on virtual time, with its runs, its lease, and the ended runs that it reports
+// until the leader acknowledges them.
 #pragma once
 
 #include <sassafrasferry/scheduling/scheduler.h>
@@ -16,74 +17,74 @@
     bool fails = false;
 };
 
-/// What a worker tells the world, and asks it.
-struct SimWorkerEvents
+/// Callbacks from a worker into its simulation.
+struct SimWorkerCallbacks
 {
-    std::function<void(const RunKey &)> onStart; ///< before the run is there
-    std::function<SimRun()> draw; ///< how a new run will end
+    std::function<void(const RunKey &)> onStart; ///< called before the run is added
+    std::function<SimRun()> createRun; ///< decides when and how a new run ends
     std::function<void(const TaskId &, jobs::RunEnd)> onEnd;
-    std::function<void(const ListedEnd &)> onNoted;
+    std::function<void(const ListedEnd &)> onEndAcknowledged;
 };
 
 struct SimWorker
 {
     std::string id;
     std::int64_t born = 0;
-    Instant bornAt{};
+    Instant startedAt{};
     double clockRate = 1;
     bool alive = true;
-    bool gone = false; ///< for good, though still listed for a while
-    Instant cutUntil{};
+    bool isLost = false; ///< the worker never returns, but a leader may still list it
+    Instant partitionedUntil{}; ///< no call reaches the worker before
     std::int64_t fence = 0;
-    std::int64_t until = 0; ///< end of the lease, by its clock
+    std::int64_t leaseEnd = 0; ///< milliseconds on the clock of the worker
     std::map<RunKey, SimRun> runs;
-    std::map<TaskId, std::int64_t> highestEnded;
+    std::map<TaskId, std::int64_t> highestEndedRun;
     std::deque<ListedEnd> ends;
     std::int64_t lastEnd = 0;
 
     std::int64_t clockAt(Instant now) const
     {
         return 1
-               + static_cast<std::int64_t>(policy::seconds(now - this->bornAt) * 1000
+               + static_cast<std::int64_t>(policy::seconds(now - this->startedAt) * 1000
                                            * this->clockRate);
     }
 
-    bool isReached(Instant now) const
+    bool isReachable(Instant now) const
     {
-        return this->alive && now >= this->cutUntil;
+        return this->alive && now >= this->partitionedUntil;
     }
 
-    /// It begins anew under its id, and knows nothing of before.
-    void rebirth(std::int64_t birth, Instant now)
+    /// Restarts the worker, which keeps its id and loses all other state.
+    void restart(std::int64_t incarnation, Instant now)
     {
-        this->born = birth;
-        this->bornAt = now;
+        this->born = incarnation;
+        this->startedAt = now;
         this->fence = 0;
-        this->until = 0;
+        this->leaseEnd = 0;
         this->runs.clear();
-        this->highestEnded.clear();
+        this->highestEndedRun.clear();
         this->ends.clear();
         this->lastEnd = 0;
     }
 
-    /// Ends what is through, and everything once the lease is over.
-    void run(Instant now, const SimWorkerEvents &events)
+    /// Ends the runs that have finished, or all runs if the lease has expired.
+    void run(Instant now, const SimWorkerCallbacks &callbacks)
     {
-        const bool lapsed = this->clockAt(now) > this->until;
-        std::vector<std::pair<RunKey, jobs::RunEnd>> over;
+        const bool isLeaseExpired = this->clockAt(now) > this->leaseEnd;
+        std::vector<std::pair<RunKey, jobs::RunEnd>> finished;
         for (const auto &entry : this->runs) {
-            if (lapsed)
-                over.push_back({entry.first, jobs::RunEnd::Lapsed});
+            if (isLeaseExpired)
+                finished.push_back({entry.first, jobs::RunEnd::Lapsed});
             else if (now >= entry.second.endsAt)
-                over.push_back(
+                finished.push_back(
                     {entry.first, entry.second.fails ? jobs::RunEnd::Failed : jobs::RunEnd::Done});
         }
-        for (const auto &end : over)
-            this->end(end.first, end.second, events);
+        for (const auto &end : finished)
+            this->end(end.first, end.second, callbacks);
     }
 
-    OrderAnswer start(const StartOrder &order, std::int64_t leaseEnd, std::int64_t orderFence,
-                      Instant now, const SimWorkerEvents &events)
+    OrderAnswer start(const StartOrder &order, std::int64_t newLeaseEnd, std::int64_t orderFence,
+                      Instant now, const SimWorkerCallbacks &callbacks)
     {
         if (orderFence < this->fence)
             return OrderAnswer::Fenced;
@@ -91,42 +92,43 @@
         const RunKey key{order.task, order.run};
         if (this->runs.count(key) != 0)
             return OrderAnswer::Accepted;
-        if (leaseEnd < this->clockAt(now))
+        if (newLeaseEnd < this->clockAt(now))
             return OrderAnswer::Expired;
-        this->until = std::max(this->until, leaseEnd);
-        const auto highest = this->highestEnded.find(order.task);
-        if (highest != this->highestEnded.end() && highest->second >= order.run)
+        this->leaseEnd = std::max(this->leaseEnd, newLeaseEnd);
+        const auto highest = this->highestEndedRun.find(order.task);
+        if (highest != this->highestEndedRun.end() && highest->second >= order.run)
             return OrderAnswer::Superseded;
-        events.onStart(key);
-        this->runs[key] = events.draw();
+        callbacks.onStart(key);
+        this->runs[key] = callbacks.createRun();
         return OrderAnswer::Accepted;
     }
 
-    OrderAnswer stop(const StopOrder &order, std::int64_t orderFence, const SimWorkerEvents &events)
+    OrderAnswer stop(const StopOrder &order, std::int64_t orderFence,
+                     const SimWorkerCallbacks &callbacks)
     {
         if (orderFence < this->fence)
             return OrderAnswer::Fenced;
         this->fence = orderFence;
         const RunKey key{order.task, order.run};
         if (this->runs.count(key) != 0)
-            this->end(key, jobs::RunEnd::Stopped, events);
-        auto &highest = this->highestEnded[order.task];
+            this->end(key, jobs::RunEnd::Stopped, callbacks);
+        auto &highest = this->highestEndedRun[order.task];
         highest = std::max(highest, order.run);
         return OrderAnswer::Accepted;
     }
 
-    /// Nothing if it has heard a newer leader.
+    /// Empty if the worker has been called by a newer leader.
     std::optional<WorkerReport> hold(std::int64_t holdFence, std::int64_t acknowledged,
-                                     std::optional<std::int64_t> leaseEnd, Instant now,
-                                     const SimWorkerEvents &events)
+                                     std::optional<std::int64_t> newLeaseEnd, Instant now,
+                                     const SimWorkerCallbacks &callbacks)
     {
         if (holdFence < this->fence)
             return std::nullopt;
         this->fence = holdFence;
-        if (leaseEnd)
-            this->until = std::max(this->until, *leaseEnd);
+        if (newLeaseEnd)
+            this->leaseEnd = std::max(this->leaseEnd, *newLeaseEnd);
         while (!this->ends.empty() && this->ends.front().number <= acknowledged) {
-            events.onNoted(this->ends.front());
+            callbacks.onEndAcknowledged(this->ends.front());
             this->ends.pop_front();
         }
         WorkerReport report;
@@ -140,13 +142,13 @@
     }
 
 private:
-    void end(const RunKey &key, jobs::RunEnd how, const SimWorkerEvents &events)
+    void end(const RunKey &key, jobs::RunEnd how, const SimWorkerCallbacks &callbacks)
     {
         this->runs.erase(key);
-        auto &highest = this->highestEnded[key.task];
+        auto &highest = this->highestEndedRun[key.task];
         highest = std::max(highest, key.number);
         this->ends.push_back({++this->lastEnd, key.task, key.number, how, ""});
-        events.onEnd(key.task, how);
+        callbacks.onEnd(key.task, how);
     }
 };
 
--- /dev/null
+++ b/packages/scheduling/tests/vm_move_calls.h
@@ -0,0 +1,208 @@
+// Calls from the leaders of a `VmMoveSimulation` to workers and to the platform.
+#pragma once
+
+#include "vm_move_simulation.h"
+
+namespace sassafrasferry::scheduling::tests {
+
+inline std::optional<Duration> VmMoveSimulation::executionDelay(const std::string &id, bool isLate)
+{
+    if (isLate)
+        return lateOrderDelay;
+    if (!this->isHanging(id))
+        return this->fleet.worker(id).isReachable(this->now) ? std::optional(Duration::zero())
+                                                             : std::nullopt;
+    if (this->droppingWorkers.count(id) != 0)
+        return std::nullopt;
+    return this->hangUntil.at(id) - this->now;
+}
+
+// A leader always has one pending hold at each worker. The hold is answered when a run ends or its
+// time is up, and fails if the worker's incarnation ends.
+inline void VmMoveSimulation::hold(const LeaderPointer &leader, const std::string &id)
+{
+    auto &next = leader->nextHoldAt[id];
+    if (this->now < next)
+        return;
+    if (this->isAddressReused(id)) {
+        next = this->now + retryDelay;
+        leader->scheduler.incarnationEnded(id, EndEvidence::OtherIncarnation, this->now);
+        return;
+    }
+    const auto until = leader->scheduler.leaseUntil(id, this->now);
+    const auto acknowledged = leader->scheduler.acknowledged(id);
+    const bool isLate = this->takePendingFault(MoveFault::HoldLate);
+    const auto after = this->executionDelay(id, isLate);
+    if (!after || *after > Duration::zero()) {
+        next = this->now + (this->isHanging(id) || isLate ? callTimeout : retryDelay);
+        if (after)
+            this->runAfter(*after, [this, leader, id, acknowledged, until] {
+                auto &worker = this->fleet.worker(id);
+                if (worker.isReachable(this->now))
+                    worker.hold(leader->fence, acknowledged, until, this->now,
+                                this->callbacksFor(worker));
+            });
+        return;
+    }
+    auto &worker = this->fleet.worker(id);
+    const auto report =
+        worker.hold(leader->fence, acknowledged, until, this->now, this->callbacksFor(worker));
+    if (!report) {
+        leader->alive = false;
+        return;
+    }
+    next = Instant::max();
+    const bool isSurvey = !leader->scheduler.findWorker(id)->surveyed;
+    this->awaitEnd(leader, *report, this->now,
+                   this->now + (isSurvey ? Duration::zero() : holdWait));
+}
+
+inline void VmMoveSimulation::awaitEnd(const LeaderPointer &leader, const WorkerReport &report,
+                                       Instant asked, Instant deadline)
+{
+    if (!report.ended.empty() || this->now >= deadline) {
+        this->answerHold(leader, report, asked);
+        return;
+    }
+    this->runAfter(
+        tickTime, [this, leader, asked, deadline, id = report.worker, born = report.born] {
+            if (!leader->alive)
+                return;
+            auto &worker = this->fleet.worker(id);
+            leader->nextHoldAt[id] = this->now + retryDelay;
+            if (!worker.isReachable(this->now) || worker.born != born || this->isHanging(id))
+                return;
+            const auto next =
+                worker.hold(leader->fence, 0, std::nullopt, this->now, this->callbacksFor(worker));
+            leader->alive = next.has_value();
+            if (!next)
+                return;
+            leader->nextHoldAt[id] = Instant::max();
+            this->awaitEnd(leader, *next, asked, deadline);
+        });
+}
+
+inline void VmMoveSimulation::answerHold(const LeaderPointer &leader, const WorkerReport &report,
+                                         Instant asked)
+{
+    for (const auto &end : report.ended)
+        this->invariants.endReported(end, this->now);
+    this->runAfter(answerTime, [this, leader, report, asked] {
+        if (!leader->alive)
+            return;
+        const auto &worker = this->fleet.worker(report.worker);
+        const bool isLost = !worker.isReachable(this->now) || worker.born != report.born;
+        leader->nextHoldAt[report.worker] = this->now + (isLost ? retryDelay : Duration::zero());
+        if (!isLost)
+            leader->scheduler.report(report, asked, this->now);
+    });
+}
+
+template<typename Call, typename Answered>
+void VmMoveSimulation::exchange(const LeaderPointer &leader, const std::string &id, bool isLate,
+                                bool isLost, Call call, Answered answered)
+{
+    const auto answer = [this, leader, answered](OrderAnswer result, Duration delay) {
+        this->runAfter(delay, [leader, answered, result] {
+            if (leader->alive)
+                answered(result);
+        });
+    };
+    if (this->isAddressReused(id)) {
+        answer(OrderAnswer::OtherIncarnation, answerTime);
+        return;
+    }
+    const auto after = this->executionDelay(id, isLate);
+    if (after && *after == Duration::zero()) {
+        const auto result = call(this->fleet.worker(id));
+        answer(isLost ? OrderAnswer::NoAnswer : result, isLost ? callTimeout : answerTime);
+        return;
+    }
+    if (after)
+        this->runAfter(*after, [this, id, call] {
+            auto &worker = this->fleet.worker(id);
+            if (worker.isReachable(this->now))
+                call(worker);
+        });
+    answer(OrderAnswer::NoAnswer, callTimeout);
+}
+
+inline void VmMoveSimulation::sendOrders(const LeaderPointer &leader)
+{
+    const auto orders = leader->scheduler.plan(this->now, 0);
+    for (const auto &stop : orders.stops) {
+        this->exchange(
+            leader, stop.worker, this->takePendingFault(MoveFault::StopLate), false,
+            [this, stop, fence = leader->fence](SimWorker &worker) {
+                return worker.stop(stop, fence, this->callbacksFor(worker));
+            },
+            [this, leader, stop](OrderAnswer answer) {
+                leader->scheduler.stopAnswered(stop, answer, this->now);
+            });
+    }
+    for (const auto &start : orders.starts) {
+        const auto until = leader->scheduler.leaseUntil(start.worker, this->now);
+        if (!until) {
+            leader->scheduler.startAnswered(start, OrderAnswer::NotSent, this->now);
+            continue;
+        }
+        this->exchange(
+            leader, start.worker, this->takePendingFault(MoveFault::StartLate),
+            this->takePendingFault(MoveFault::StartUnanswered),
+            [this, start, until, fence = leader->fence](SimWorker &worker) {
+                return worker.start(start, *until, fence, this->now, this->callbacksFor(worker));
+            },
+            [this, leader, start](OrderAnswer answer) {
+                leader->scheduler.startAnswered(start, answer, this->now);
+            });
+    }
+}
+
+inline void VmMoveSimulation::sendVmOrders(const LeaderPointer &leader)
+{
+    if (this->now - leader->vmsListedAt >= listPeriod) {
+        leader->vmsListedAt = this->now;
+        leader->planner.listVms(this->listedVms(), this->now);
+    }
+    for (const auto &order : leader->planner.plan(leader->scheduler, this->now, 0)) {
+        const auto vm = static_cast<std::size_t>(std::stoul(order.vm.substr(2)));
+        const bool isLost = this->takePendingFault(MoveFault::VmOrderUnanswered);
+        const bool isSlow = !isLost && this->takePendingFault(MoveFault::VmOrderAnsweredLate);
+        const auto answer =
+            isLost ? (this->execute(order, vm), FleetAnswer::NoAnswer) : this->execute(order, vm);
+        this->runAfter(isLost   ? callTimeout
+                       : isSlow ? lateVmAnswer
+                                : tickTime,
+                       [this, leader, order, answer] {
+                           if (leader->alive)
+                               leader->planner.answered(order, answer, leader->scheduler,
+                                                        this->now);
+                       });
+    }
+}
+
+inline FleetAnswer VmMoveSimulation::execute(const FleetOrder &order, std::size_t vm)
+{
+    auto &target = this->fleet.vms[vm];
+    const bool isMove = order.action == FleetAction::Move;
+    if (isMove ? target.pool == order.pool : this->fleet.maintained.count(order.vm) != 0)
+        return FleetAnswer::Accepted;
+    if (target.state != VmState::Up)
+        return FleetAnswer::Busy;
+    this->fleet.endWorker(vm, this->now, [](const TaskId &) {});
+    target.state = isMove ? VmState::Moving : VmState::Maintenance;
+    if (isMove) {
+        target.pool = order.pool;
+        ++this->moves;
+    } else {
+        this->fleet.maintained.insert(order.vm);
+    }
+    this->runAfter(isMove ? moveTime : maintenanceTime, [this, vm] {
+        this->fleet.vms[vm].state = VmState::Up;
+        if (this->fleet.vms[vm].pool != MoveFleet::standby)
+            this->fleet.startWorker(vm, this->now);
+    });
+    return FleetAnswer::Accepted;
+}
+
+} // namespace sassafrasferry::scheduling::tests
--- a/packages/scheduling/tests/move_order_faults.h
+++ b/packages/scheduling/tests/vm_move_injection.h
@@ -1,54 +1,54 @@
-// How faults strike a `MoveOrderWorld`.
+// Injects faults into a `VmMoveSimulation`.
 #pragma once
 
-#include "move_order_world.h"
+#include "vm_move_simulation.h"
 
 namespace sassafrasferry::scheduling::tests {
 
-inline void MoveOrderWorld::strike(const MoveFaultAt &fault)
+inline void VmMoveSimulation::inject(const TimedMoveFault &fault)
 {
     auto *worker = this->fleet.workerAt(fault.vm);
-    if (strikesVm(fault.fault) && fault.fault != MoveFault::EarlierEntryListed) {
+    if (targetsVm(fault.fault) && fault.fault != MoveFault::EarlierEntryListed) {
         if (worker && worker->alive)
-            this->strikeWorker(fault, *worker);
+            this->injectIntoWorker(fault, *worker);
         return;
     }
     auto &leader = *this->leaders.back();
     switch (fault.fault) {
     case MoveFault::EarlierEntryListed:
-        this->fleet.listEarlier(fault.vm, this->now);
+        this->fleet.relistEarlierWorkers(fault.vm, this->now);
         [[fallthrough]];
     case MoveFault::EntriesReadAgain:
-        leader.entries.clear();
+        leader.seenIncarnations.clear();
         break;
-    case MoveFault::VmListBehind:
-        this->listBehindUntil = this->now + listBehindFor;
+    case MoveFault::VmListStale:
+        this->vmListStaleUntil = this->now + vmListStaleTime;
         break;
     case MoveFault::StoreSlow:
-        this->storeSlowUntil = this->now + storeSlowFor;
+        this->storeSlowUntil = this->now + storeSlowdownTime;
         break;
     case MoveFault::JobCancelled:
-        this->cancel(this->newest);
+        this->cancel(this->newestJob);
         break;
     case MoveFault::LeaderCannotWrite:
         leader.writesStore = false;
-        this->leadAt = this->now + takeover;
+        this->nextLeaderAt = this->now + takeover;
         break;
     case MoveFault::LeaderDies:
         leader.alive = false;
-        this->leadAt = this->now + takeover;
+        this->nextLeaderAt = this->now + takeover;
         break;
     case MoveFault::AllRestart:
         for (const auto &each : this->leaders)
             each->alive = false;
-        this->leadAt = this->now + restartTime;
+        this->nextLeaderAt = this->now + restartTime;
         break;
     default:
-        ++this->armed[fault.fault];
+        ++this->pendingFaults[fault.fault];
     }
 }
 
-inline void MoveOrderWorld::strikeWorker(const MoveFaultAt &fault, SimWorker &worker)
+inline void VmMoveSimulation::injectIntoWorker(const TimedMoveFault &fault, SimWorker &worker)
 {
     switch (fault.fault) {
     case MoveFault::WorkerRestarts:
@@ -57,29 +57,29 @@
     case MoveFault::WorkerRestartsUnnoticed:
         this->fleet.restart(worker, MoveFleet::lateEntryDelay, this->now);
         break;
-    case MoveFault::WorkerDark:
+    case MoveFault::WorkerDown:
         worker.alive = false;
         worker.runs.clear();
-        this->later(darkFor, [this, &worker, vm = fault.vm] {
+        this->runAfter(downTime, [this, &worker, vm = fault.vm] {
             if (this->fleet.workerAt(vm) != &worker)
                 return;
             worker.alive = true;
             this->fleet.restart(worker, MoveFleet::entryDelay, this->now);
         });
         break;
-    case MoveFault::WorkerCut:
-        worker.cutUntil = this->now + cutFor;
+    case MoveFault::WorkerPartitioned:
+        worker.partitionedUntil = this->now + partitionTime;
         break;
     case MoveFault::WorkerHangsAndDrops:
-        this->dropsCalls.insert(worker.id);
+        this->droppingWorkers.insert(worker.id);
         [[fallthrough]];
     case MoveFault::WorkerHangs:
-        this->hangUntil[worker.id] = this->now + hangFor;
+        this->hangUntil[worker.id] = this->now + hangTime;
         break;
     default:
         this->fleet.vms[fault.vm].state = VmState::Down;
         this->fleet.endWorker(fault.vm, this->now, [](const TaskId &) {});
-        this->reusedAt[worker.id] = this->now + reuse;
+        this->addressReusedAt[worker.id] = this->now + addressReuseDelay;
     }
 }
 
--- a/packages/scheduling/tests/move_order_leader.h
+++ b/packages/scheduling/tests/vm_move_leader.h
@@ -1,11 +1,11 @@
-// What a leader of a `MoveOrderWorld` learns when it begins, and does at each moment.
+// The start of a leader of a `VmMoveSimulation`, and its work at each tick.
 #pragma once
 
-#include "move_order_world.h"
+#include "vm_move_simulation.h"
 
 namespace sassafrasferry::scheduling::tests {
 
-inline void MoveOrderWorld::lead()
+inline void VmMoveSimulation::startLeader()
 {
     const auto fence = static_cast<std::int64_t>(this->leaders.size() + 1);
     auto leader = std::make_shared<SimLeader>(fence, this->now);
@@ -19,11 +19,12 @@
     }
     configuration.services.push_back({MoveFleet::standby, true, true});
     leader->scheduler.setConfiguration(configuration);
-    for (const auto &entry : this->jobTable) {
+    for (const auto &entry : this->submittedJobs) {
         auto job = std::make_unique<Job>(entry.first, entry.second.spec, terms(entry.second.queue),
                                          this->now);
         job->inherited = fence > 1;
-        if (const auto row = this->rows.find(entry.first); row != this->rows.end()) {
+        if (const auto row = this->storedProgress.find(entry.first);
+            row != this->storedProgress.end()) {
             job->restore(row->second);
             job->recordedChanges = job->changes;
         }
@@ -47,12 +48,12 @@
     leader->planner.addWave({1, {"vm0", "vm2", "vm3"}, 10s, 1}, this->fleet.maintained, this->now);
 }
 
-inline void MoveOrderWorld::readEntries(SimLeader &leader)
+inline void VmMoveSimulation::readEntries(SimLeader &leader)
 {
     std::set<std::string> seen;
     for (const auto &listing : this->fleet.listings(this->now)) {
         seen.insert(listing.id);
-        auto &born = leader.entries[listing.id];
+        auto &born = leader.seenIncarnations[listing.id];
         if (born == listing.born)
             continue;
         born = listing.born;
@@ -64,18 +65,18 @@
             gone.push_back(entry.first);
     }
     for (const auto &id : gone) {
-        leader.entries.erase(id);
+        leader.seenIncarnations.erase(id);
         leader.scheduler.unlistWorker(id);
     }
     leader.scheduler.forgetWorkers(this->now);
 }
 
-inline void MoveOrderWorld::runLeader(const LeaderPointer &leader)
+inline void VmMoveSimulation::runLeader(const LeaderPointer &leader)
 {
     if (!leader->alive || this->now - leader->confirmedAt >= orderLimit)
         return;
     this->readEntries(*leader);
-    this->record(leader);
+    this->writeRows(leader);
     std::vector<std::string> ids;
     for (const auto &entry : leader->scheduler.workers()) {
         if (!entry.second.over)
@@ -85,29 +86,29 @@
         this->hold(leader, id);
     if (!leader->alive)
         return;
-    this->order(leader);
+    this->sendOrders(leader);
     if (leader->writesStore)
-        this->orderVms(leader);
+        this->sendVmOrders(leader);
     for (const auto &note : leader->scheduler.takeNotes())
-        this->tell(note);
+        this->addNote(note);
     for (const auto &note : leader->planner.takeNotes())
-        this->tell(note);
+        this->addNote(note);
 }
 
-inline void MoveOrderWorld::record(const LeaderPointer &leader)
+inline void VmMoveSimulation::writeRows(const LeaderPointer &leader)
 {
     if (!leader->writesStore)
         return;
     leader->confirmedAt = this->now;
-    const auto took = this->now < this->storeSlowUntil ? slowStoreTime : storeTime;
-    // Writes are carried out in the order in which they are sent.
-    this->writtenAt = std::max(this->writtenAt, this->now + took);
+    const auto took = this->now < this->storeSlowUntil ? slowWriteTime : writeTime;
+    // The store executes writes in the order in which they are sent.
+    this->lastWriteAt = std::max(this->lastWriteAt, this->now + took);
     for (const auto &row :
          leader->scheduler.takeDirty(30, [](const std::string &) { return true; })) {
-        this->events.add(this->writtenAt, [this, leader, row] {
+        this->events.add(this->lastWriteAt, [this, leader, row] {
             if (!leader->alive || !leader->writesStore)
                 return;
-            this->rows[row.id] = row.row;
+            this->storedProgress[row.id] = row.row;
             leader->scheduler.recorded(row);
         });
     }
