--- a/packages/scheduling/src/scheduling_measure.cpp
+++ b/packages/scheduling/src/scheduling_measure.cpp
@@ -1,5 +1,6 @@
-// Processor time of the leader's decisions at a given size: workers that do what they are told at
-// once, jobs that come by turns, holds at a given rate. Prints CSV: one line a run.
+// Measures the processor time of the leader's decisions for a given number of workers and rate of
+// jobs. Workers execute orders at once and answer holds at a given rate, and the queues receive
+// jobs in turn. Prints CSV with one line per run.
 #include <sassafrasferry/scheduling/fleet_planner.h>
 
 #include <cstdio>
@@ -42,7 +43,7 @@
     std::int64_t lastEnd = 0;
 };
 
-jobs::JobSpec someJob(std::mt19937_64 &random)
+jobs::JobSpec randomJob(std::mt19937_64 &random)
 {
     jobs::StepSpec first;
     first.count = 2 + random() % 12;
@@ -97,14 +98,14 @@
     fleet.listVms(vms, now);
     Totals totals;
     const auto end = now + policy::fromSeconds(seconds);
-    double owed = 0;
+    double dueJobs = 0;
     std::size_t jobCount = 0;
     for (std::size_t tick = 0; now < end; ++tick, now += step) {
-        owed += jobsPerSecond * policy::seconds(step);
-        for (; owed >= 1; owed -= 1) {
-            const auto turn = (tick / 400) % services;
-            auto job = std::make_unique<Job>("job" + std::to_string(jobCount++), someJob(random),
-                                             configuration.queues[turn].terms, now);
+        dueJobs += jobsPerSecond * policy::seconds(step);
+        for (; dueJobs >= 1; dueJobs -= 1) {
+            const auto queueIndex = (tick / 400) % services;
+            auto job = std::make_unique<Job>("job" + std::to_string(jobCount++), randomJob(random),
+                                             configuration.queues[queueIndex].terms, now);
             scheduler.addJob(std::move(job));
         }
         for (auto &entry : workers) {
--- a/packages/scheduling/tests/estate.h
+++ b/packages/scheduling/tests/estate.h
@@ -1,5 +1,5 @@
-// Pools of VMs with their workers, a scheduler and a planner, for tests that tell them one event
-// after the other.
+// A fixture of pools of VMs with their workers, a scheduler and a planner, for tests that pass
+// events to these one by one.
 #pragma once
 
 #include <sassafrasferry/scheduling/fleet_planner.h>
@@ -11,7 +11,7 @@
 inline const Instant start(1h);
 constexpr std::int64_t vmCores = 32000;
 
-/// Two pools and a standby pool, each with some VMs; each VM but the standby's has a worker.
+/// Two pools and a standby pool of VMs. Each VM outside the standby pool has a worker.
 struct Estate
 {
     Estate(std::size_t first, std::size_t second, std::size_t standby)
@@ -80,7 +80,7 @@
             this->report(id);
     }
 
-    /// Adds a job and starts its tasks.
+    /// Adds a job with one step and starts its tasks.
     void work(const std::string &queue, std::size_t tasks, std::int64_t cpu, bool lasting = false)
     {
         jobs::StepSpec step;
@@ -97,7 +97,7 @@
         this->startAll();
     }
 
-    /// All runs of a worker end but so many.
+    /// Ends the runs of a worker, except for `left` of them.
     void endAllBut(const std::string &id, std::size_t left)
     {
         const auto *worker = this->scheduler.findWorker(id);
