--- a/packages/coordination/include/sassafrasferry/coordination/fleet_keeper.h
+++ b/packages/coordination/include/sassafrasferry/coordination/fleet_keeper.h
@@ -1,5 +1,5 @@
-// The leader's hand on VMs: it lists them, carries out what the fleet planner decides, and records
-// how far waves have come.
+// The leader's control of VMs: lists them, gives the orders that the fleet planner decides, and
+// records the progress of maintenance waves.
 #pragma once
 
 #include <sassafrasferry/coordination/job_rows.h>
@@ -19,7 +19,7 @@
 
 namespace sassafrasferry::coordination {
 
-/// A client of the platform's calls for VMs.
+/// A client of the platform's interface to VMs.
 template<typename T>
 concept CloudCalls = requires(T &cloud, scheduling::FleetOrder order, std::int64_t fence)
 {
@@ -31,7 +31,7 @@
         } -> std::same_as<Awaitable<scheduling::FleetAnswer>>;
 };
 
-/// Where the state of a wave is told to operators.
+/// The row in which operators read the state of a wave.
 struct WaveStatusRow
 {
     std::string table;
@@ -46,13 +46,14 @@
     struct Options
     {
         std::int64_t fence = 0;
-        std::vector<std::string> deferred; ///< VMs of an earlier leader's last orders
-        Instant deferredUntil{}; ///< no order about them before
-        /// Makes orders known to a successor; false: they must not be given.
+        std::vector<std::string> deferredVms; ///< VMs of the predecessor's last orders
+        Instant deferredUntil{}; ///< no order is given about `deferredVms` before this time
+        /// Records the VMs of the next orders for a successor. If it returns false, the orders must
+        /// not be given.
         std::function<Awaitable<bool>(std::vector<std::string> vms)> announce;
-        std::function<bool()> mayOrder; ///< this entry VM may give orders about VMs now
+        std::function<bool()> canOrder; ///< true while orders about VMs are allowed
         std::function<WaveStatusRow(std::int64_t wave, bool completed)> statusRow;
-        std::function<void()> onChange; ///< the scheduler has something to plan for
+        std::function<void()> onChange; ///< called when the scheduler should plan again
     };
 
     FleetKeeper(http::asio::any_io_executor executor, Store &store, Cloud &cloud,
@@ -65,7 +66,7 @@
         , planner(termsFor(scheduler))
     {}
 
-    /// VMs about which an order was given since then.
+    /// VMs about which an order was given since the given time.
     std::vector<std::string> orderedSince(Instant since) const
     {
         std::vector<std::string> vms;
@@ -78,7 +79,7 @@
 
     void begin()
     {
-        for (const auto &vm : this->options.deferred)
+        for (const auto &vm : this->options.deferredVms)
             this->planner.defer(vm, this->options.deferredUntil);
         spawn(this->executor, "fleet", [self = this->shared_from_this()] {
             return restarted("fleet", [self] { return self->run(); });
@@ -112,21 +113,22 @@
     {
         while (!this->stopped) {
             co_await pause(tick);
-            if (this->stopped || !this->options.mayOrder())
+            if (this->stopped || !this->options.canOrder())
                 continue;
-            co_await this->learnWaves();
+            co_await this->loadWaves();
             co_await this->list();
             if (this->stopped || !this->hasListed)
                 continue;
             auto orders = this->planner.plan(this->scheduler, bootNow(), http::unixNow());
-            co_await this->giveAnnounced(std::move(orders));
-            this->tell();
+            co_await this->announceAndGive(std::move(orders));
+            this->logNotes();
             co_await this->recordWaves();
         }
     }
 
-    // Which of a wave's VMs an earlier leader has maintained.
-    Awaitable<void> learnWaves()
+    // Loads which VMs of each new wave earlier leaders have maintained, and hands the waves that
+    // are not completed to the planner.
+    Awaitable<void> loadWaves()
     {
         while (!this->newWaves.empty() && !this->stopped) {
             const auto wave = this->newWaves.front();
@@ -166,7 +168,7 @@
         this->planner.listVms(*vms, asked);
     }
 
-    Awaitable<void> giveAnnounced(std::vector<scheduling::FleetOrder> orders)
+    Awaitable<void> announceAndGive(std::vector<scheduling::FleetOrder> orders)
     {
         if (orders.empty())
             co_return;
@@ -177,7 +179,7 @@
         if (this->stopped)
             co_return;
         for (auto &order : orders) {
-            if (isAnnounced && this->options.mayOrder()
+            if (isAnnounced && this->options.canOrder()
                 && this->planner.mayGive(order, this->scheduler, bootNow()))
                 this->give(std::move(order));
             else
@@ -202,11 +204,11 @@
         if (this->stopped)
             co_return;
         this->planner.answered(order, answer, this->scheduler, bootNow());
-        this->tell();
+        this->logNotes();
         this->options.onChange();
     }
 
-    void tell()
+    void logNotes()
     {
         for (const auto &note : this->planner.takeNotes())
             LOG(INFO) << "event=" << note.event << " of=" << note.subject << ' ' << note.detail;
@@ -214,7 +216,7 @@
 
     Awaitable<void> recordWaves()
     {
-        // A copy: orders that end meanwhile change the planner's.
+        // Copied, because answers to orders change the planner's waves during the writes below.
         const auto waves = this->planner.waves();
         for (const auto &entry : waves) {
             const auto &progress = entry.second;
@@ -231,13 +233,13 @@
             const auto row = this->options.statusRow(entry.first, progress.completed);
             store::PartTransaction status;
             status.puts.push_back({row.table, row.key, row.value});
-            auto told = store::CommitState::Committed;
+            auto statusCommit = store::CommitState::Committed;
             if (recorded == 0 || progress.completed) {
                 const auto answer = co_await this->store.commit(status);
-                told = answer.state;
+                statusCommit = answer.state;
             }
             if (commit.state == store::CommitState::Committed
-                && told == store::CommitState::Committed)
+                && statusCommit == store::CommitState::Committed)
                 recorded = progress.changes;
             else
                 co_await pause(retryPause);
@@ -249,12 +251,12 @@
     http::asio::any_io_executor executor;
     Store &store;
     Cloud &cloud;
-    scheduling::Scheduler &scheduler; // not touched once stopped
+    scheduling::Scheduler &scheduler; // not accessed after `stop`
     Options options;
     scheduling::FleetPlanner planner;
     std::vector<scheduling::Wave> newWaves;
-    std::map<std::int64_t, std::uint64_t> recordedChanges; // of each wave
-    std::map<std::string, Instant> orderedAt; // of each VM: the last call, or its answer
+    std::map<std::int64_t, std::uint64_t> recordedChanges; // by wave number
+    std::map<std::string, Instant> orderedAt; // by VM: time of its last order, or of the answer
     Instant listedAt{};
     bool hasListed = false;
     bool stopped = false;
--- a/packages/coordination/include/sassafrasferry/coordination/leader.h
+++ b/packages/coordination/include/sassafrasferry/coordination/leader.h
@@ -1,4 +1,5 @@
-// The scheduling leader at work: it learns all jobs and workers, plans, orders and records.
+// The scheduling leader: loads all jobs and workers, plans, gives orders to workers and VMs, and
+// records the results in the store.
 #pragma once
 
 #include <sassafrasferry/coordination/call_relay.h>
@@ -20,7 +21,7 @@
 
 namespace sassafrasferry::coordination {
 
-/// One tenure of the lease. Made anew for each.
+/// Leads for one tenure of the lease. A new object is created for each tenure.
 template<JobPlatform Platform>
 class Leader : public std::enable_shared_from_this<Leader<Platform>>
 {
@@ -34,16 +35,17 @@
     {
         scheduling::SchedulerTimes times;
         std::function<void(const std::string &why)> onDeposed;
-        OnFailure onFailed; ///< this process can't lead now
-        std::function<Duration()> sinceConfirmed; ///< how long ago the store confirmed the lease
-        CallRelay *relay = nullptr; ///< through which workers are called once there are many
-        Duration orderLimit{}; ///< no order is given that long after
-        /// Makes orders about VMs known to a successor before they are given.
+        OnFailure onFailed; ///< called when this process can't lead at present
+        std::function<Duration()> sinceConfirmed; ///< time since the store last confirmed the lease
+        CallRelay *relay = nullptr; ///< relays the calls to workers when there are many of them
+        Duration orderLimit{}; ///< no order is given this long after the last confirmation
+        /// Records the VMs of the next orders for a successor. The orders are given only if it
+        /// returns true.
         std::function<Awaitable<bool>(std::vector<std::string>)> announce;
-        /// Between the last order about a VM of one leader and the first of the next.
+        /// Minimum time between a leader's last order about a VM and its successor's first.
         Duration handOverDelay = std::chrono::milliseconds(3000);
-        /// Without a further part of the tables while the store confirms the lease. A slow store
-        /// takes seconds for a part of many pages.
+        /// Loading counts as stalled after this long without a further part of the tables while the
+        /// store confirms the lease. A slow store takes seconds for a part of many pages.
         Duration loadStall = std::chrono::seconds(8);
     };
 
@@ -69,7 +71,7 @@
                         [self = this->shared_from_this()] { return watchLoad(self->loadWatch()); });
     }
 
-    /// Nothing is ordered or recorded any more.
+    /// Stops giving orders and recording.
     void stop()
     {
         this->stopped = true;
@@ -84,7 +86,8 @@
         this->planWake.notify();
         if (this->recorder)
             this->recorder->stop();
-        // Those hold this leader by their callbacks, one of which may be what called here.
+        // The callbacks of these parts hold a reference to this leader, and one of them may be the
+        // caller of `stop`, so the parts are destroyed later.
         http::asio::post(this->executor, [self = this->shared_from_this()] {
             self->fleet.reset();
             self->intakeFollower.reset();
@@ -94,7 +97,7 @@
         });
     }
 
-    /// True once it knows every job.
+    /// True once all jobs and all worker entries have been loaded.
     bool isReady() const
     {
         return this->book.isComplete() && this->knowsWorkers;
@@ -113,7 +116,7 @@
             this->fleet->addWave(wave);
     }
 
-    /// VMs about which an order was given within the hand-over delay.
+    /// VMs about which an order was given within the last hand-over delay.
     std::vector<std::string> orderedVms() const
     {
         return this->fleet ? this->fleet->orderedSince(bootNow() - this->options.handOverDelay)
@@ -129,8 +132,8 @@
     static scheduling::SchedulerTimes timesFor(const Options &options, const Tenure &tenure)
     {
         auto times = options.times;
-        // What a leader that has stopped had sent runs for one lease; another may go on ordering
-        // until it gives up by itself.
+        // Runs started by a predecessor last for at most one worker lease after its last order. A
+        // predecessor that is not known to have stopped may give orders until its order limit.
         times.inheritedLease =
             policy::fromSeconds(policy::seconds(times.workerLease) * (1 + times.clockDrift))
             + times.leaseMargin;
@@ -139,20 +142,24 @@
         return times;
     }
 
-    // Above all starts of one task in one term, so that no leader's run numbers meet another's.
+    // Exceeds the number of starts of one task in one term, so that run numbers of different terms
+    // are distinct.
     static constexpr std::int64_t runsPerTerm = 1000;
-    // Orders about VMs are given only under a lease that was confirmed this lately: less than the
-    // term after which another may take it, so the other need not add the whole of it to its wait.
+    // Orders about VMs are given only if the lease was confirmed within this time. It is shorter
+    // than the term after which another entry VM may take the lease, so that a successor need not
+    // add the whole limit to its wait.
     static constexpr Duration vmOrderLimit = std::chrono::milliseconds(800);
     static constexpr Duration vmOrderMargin = std::chrono::milliseconds(200);
     static constexpr auto loadPeriod = std::chrono::seconds(1);
     static constexpr auto planTick = std::chrono::milliseconds(50);
-    // Ends and answers that come together are planned for together.
-    static constexpr auto planGather = std::chrono::milliseconds(2);
-    // Planning takes at most this part of the time, so that answers are still taken in.
-    static constexpr int planShare = 4;
+    // Ends and answers that arrive within this time are handled by one planning round.
+    static constexpr auto planBatchDelay = std::chrono::milliseconds(2);
+    // The pause between two rounds is this many times the duration of the last round, so that
+    // planning leaves time to process answers.
+    static constexpr int planPauseFactor = 4;
     static constexpr auto retryPause = std::chrono::milliseconds(50);
-    // Workers write their entry every second or two; news of a drain may be this much later.
+    // Delay between reads of the worker entries, and so of the news of a drain. Workers write their
+    // entries every one or two seconds.
     static constexpr std::chrono::milliseconds listPause{250};
 
     template<typename Body>
@@ -174,7 +181,7 @@
                 [this] { return this->stopped || this->isReady(); }, this->options.sinceConfirmed,
                 this->options.loadStall,
                 [this] {
-                    this->fail("the jobs can't be read");
+                    this->fail("loading the tables of jobs and workers has stalled");
                 }};
     }
 
@@ -183,7 +190,7 @@
         auto self = this->shared_from_this();
         this->recorder = std::make_shared<JobRecorder<Store>>(
             this->executor, this->store, this->scheduler, this->tenure.fence,
-            typename JobRecorder<Store>::Events{[self] { self->roster->tellRecorded(); },
+            typename JobRecorder<Store>::Events{[self] { self->roster->acknowledgeRecorded(); },
                                                 [self](const std::string &why) {
                                                     if (!self->stopped)
                                                         self->options.onDeposed(why);
@@ -191,8 +198,8 @@
                                                 [self](const std::string &error) {
                                                     self->fail(error);
                                                 }});
-        // `stop` drops the parts, while a call of theirs may wait here: each is kept until it
-        // returns, or the store's answer would find it gone.
+        // `stop` releases the parts while one of their coroutines may be suspended here. A local
+        // reference keeps each part alive until its call returns.
         const auto openedRecorder = this->recorder;
         const bool isOpen = co_await openedRecorder->open();
         ++this->loadSteps;
@@ -204,8 +211,8 @@
         this->intakeFollower = std::make_shared<TableFollower<Store>>(
             this->store, FollowOptions{table::intake, allJobParts()},
             [self](const auto &rows, bool) { self->takeIntake(rows); });
-        // Workers are asked only once all jobs are known: a run or an end of a job that this leader
-        // does not know would be stopped, or acknowledged and so forgotten.
+        // Workers are called only after all jobs are loaded. Otherwise this leader would stop the
+        // runs of jobs that it does not know, and acknowledge their ends, which are then lost.
         const auto readIntake = this->intakeFollower;
         const bool knowsIntake = co_await readIntake->refreshUntilRead();
         if (!knowsIntake)
@@ -222,18 +229,18 @@
         if (!knowsEntries)
             co_return;
         this->workerFollower->begin(this->executor);
-        this->spawnPart("learn-vms", [self] { return self->learnVms(); });
+        this->spawnPart("learn-vms", [self] { return self->surveyPlatformVms(); });
         this->recorder->begin();
         this->beginFleet();
         co_await this->planLoop();
     }
 
-    Awaitable<void> learnVms()
+    Awaitable<void> surveyPlatformVms()
     {
         const std::function<bool()> isStopped = [this] {
             return this->stopped;
         };
-        // Of the very first leader no earlier one ordered anything.
+        // The first leader of all has no predecessor that could have started runs.
         if (this->tenure.term > 1)
             co_await surveyVms(this->cloud, this->scheduler, isStopped);
         if (this->stopped)
@@ -242,17 +249,17 @@
         this->planWake.notify();
     }
 
-    // Below this many workers the leader calls them itself: the detour costs a few milliseconds.
-    static constexpr std::size_t fewestRelayed = 100;
+    // With fewer workers the leader calls them directly, since a relay adds a few milliseconds.
+    static constexpr std::size_t minWorkersForRelay = 100;
 
     CallRelay *relay() const
     {
-        const bool isMany = this->listedWorkers >= fewestRelayed;
-        return isMany && this->options.relay->isOpen() ? this->options.relay : nullptr;
+        const bool hasManyWorkers = this->listedWorkers >= minWorkersForRelay;
+        return hasManyWorkers && this->options.relay->isOpen() ? this->options.relay : nullptr;
     }
 
-    // Woken after a freeze, it must not order by what it believed before.
-    bool mayOrder() const
+    // After a suspension of the process its state may be outdated, so it must not give orders.
+    bool canOrder() const
     {
         return this->options.sinceConfirmed() < this->options.orderLimit;
     }
@@ -262,10 +269,10 @@
         auto self = this->shared_from_this();
         typename FleetKeeper<Store, Cloud>::Options fleetOptions;
         fleetOptions.fence = this->tenure.fence;
-        fleetOptions.deferred = this->tenure.orderedVms;
+        fleetOptions.deferredVms = this->tenure.orderedVms;
         fleetOptions.deferredUntil = this->tookOverAt + this->options.handOverDelay + vmOrderMargin;
-        fleetOptions.mayOrder = [self] {
-            return self->mayOrderVms();
+        fleetOptions.canOrder = [self] {
+            return self->canOrderVms();
         };
         fleetOptions.announce = this->options.announce;
         fleetOptions.statusRow = &Platform::waveStatus;
@@ -279,11 +286,11 @@
         this->fleet->begin();
     }
 
-    // A leader of an earlier version, which announced no orders, may have sent one just before the
-    // store stopped confirming its lease.
-    bool mayOrderVms() const
+    // A predecessor of an earlier version does not announce its orders, and may have sent one just
+    // before the store stopped confirming its lease.
+    bool canOrderVms() const
     {
-        const auto wait = this->tenure.isFirst || this->tenure.knowsOrders
+        const auto wait = this->tenure.isFirst || this->tenure.knowsPredecessorOrders
                               ? Duration::zero()
                               : this->options.handOverDelay + vmOrderMargin;
         return this->isReady() && this->options.sinceConfirmed() < vmOrderLimit
@@ -329,8 +336,8 @@
             if (!self->stopped)
                 self->options.onDeposed(why);
         };
-        events.mayOrder = [self] {
-            return self->mayOrder();
+        events.canOrder = [self] {
+            return self->canOrder();
         };
         const auto makeWorker = [self](const std::string &id, const model::Endpoint &address) {
             return std::make_unique<Worker>(self->executor, id, address,
@@ -351,26 +358,27 @@
     {
         while (!this->stopped) {
             co_await this->planWake.wait(planTick);
-            co_await pause(std::max<Duration>(planGather, planShare * this->planTook));
+            co_await pause(
+                std::max<Duration>(planBatchDelay, planPauseFactor * this->lastPlanDuration));
             if (this->stopped)
                 co_return;
-            if (!this->isReady() || !this->mayOrder())
+            if (!this->isReady() || !this->canOrder())
                 continue;
             const auto begin = bootNow();
             this->roster->give(this->scheduler.plan(begin, http::unixNow()));
-            this->planTook = bootNow() - begin;
+            this->lastPlanDuration = bootNow() - begin;
             tellRound(this->scheduler.takeNotes(), begin);
             if (this->scheduler.hasDirty())
                 this->recorder->wake();
-            this->tellLoadsAtTimes(begin);
+            this->logLoadsPeriodically(begin);
         }
     }
 
-    void tellLoadsAtTimes(Instant now)
+    void logLoadsPeriodically(Instant now)
     {
-        if (now - this->loadsToldAt < loadPeriod)
+        if (now - this->loadsLoggedAt < loadPeriod)
             return;
-        this->loadsToldAt = now;
+        this->loadsLoggedAt = now;
         this->roster->forget(now);
         this->listedWorkers = this->scheduler.listedWorkers();
         tellLoads(this->scheduler.loads(now, http::unixNow()));
@@ -391,10 +399,10 @@
     std::shared_ptr<TableFollower<Store>> intakeFollower;
     std::shared_ptr<TableFollower<Store>> workerFollower;
     Wake planWake;
-    Instant loadsToldAt{};
-    std::size_t listedWorkers = 0; // as counted once a second
-    Duration planTook{}; // the last time
-    std::size_t loadSteps = 0; // parts of the store's tables that have been read
+    Instant loadsLoggedAt{};
+    std::size_t listedWorkers = 0; // updated once a second
+    Duration lastPlanDuration{}; // duration of the last planning round
+    std::size_t loadSteps = 0; // number of table reads completed so far
     bool knowsWorkers = false;
     bool stopped = false;
 };
--- a/packages/coordination/include/sassafrasferry/coordination/leadership.h
+++ b/packages/coordination/include/sassafrasferry/coordination/leadership.h
@@ -1,4 +1,4 @@
-// Which entry VM leads: a lease row in the store.
+// Elects the entry VM that leads, by a lease row in the store.
 #pragma once
 
 #include <sassafrasferry/coordination/job_rows.h>
@@ -13,43 +13,45 @@
 
 namespace sassafrasferry::coordination {
 
-/// Times of the scheduling lease.
+/// Durations that govern the scheduling lease.
 struct LeadershipTimes
 {
-    Duration renew = std::chrono::milliseconds(400);
-    /// A row that stood unchanged for this long is anybody's. For liveness alone: what keeps two
-    /// leaders apart is the fence.
+    Duration renew = std::chrono::milliseconds(400); ///< interval between renewals of the lease
+    /// Any entry VM may take a lease whose row has not changed for this long. This serves liveness
+    /// only; the fencing token ensures that two leaders don't interfere.
     Duration term = std::chrono::milliseconds(1600);
-    /// How long a leader goes on giving orders that the store does not confirm. The store may be
-    /// away for some seconds, and the workers' leases must outlast that.
+    /// A leader gives orders for at most this long after the store last confirmed its lease. The
+    /// store may be unavailable for some seconds, and the workers' leases must outlast that.
     Duration orderLimit = std::chrono::milliseconds(6500);
-    Duration heard = std::chrono::milliseconds(600); ///< no look at the row while a leader answers
-    Duration look = std::chrono::milliseconds(200); ///< between looks at the row
-    Duration tick = std::chrono::milliseconds(50);
-    /// Before a free lease is taken, so that entry VMs with more processor come first.
+    /// The lease row is not read while the leader's last answer is younger than this.
+    Duration leaderAnswerMaxAge = std::chrono::milliseconds(600);
+    Duration readPeriod = std::chrono::milliseconds(200); ///< between reads of the lease row
+    Duration tick = std::chrono::milliseconds(50); ///< period of the main loop
+    /// Delay before taking a free lease. Entry VMs with more processor cores get a shorter one and
+    /// so come first.
     Duration takeDelay = std::chrono::milliseconds(0);
-    /// The wait for a lease that was given up grows to this with the age of the process, up to that
-    /// age.
-    Duration youthDelay = std::chrono::milliseconds(300);
-    Duration restartMemory = std::chrono::seconds(30);
-    /// One that stepped down because it could not lead lets others go first for this long.
+    /// Additional delay before taking a released lease. It grows linearly with the age of the
+    /// process and reaches this value at the age `maxAgeDelayAt`.
+    Duration maxAgeDelay = std::chrono::milliseconds(300);
+    Duration maxAgeDelayAt = std::chrono::seconds(30);
+    /// After stepping down because it could not lead, a process takes no lease for this long.
     Duration holdOff = std::chrono::seconds(3);
-    /// The one that the leader before named comes first by this.
+    /// Additional delay of all entry VMs but the successor that the predecessor named.
     Duration successorLead = std::chrono::milliseconds(600);
 };
 
-/// What a new leader has to know of its lease.
+/// What a new leader knows about its lease and its predecessor.
 struct Tenure
 {
-    std::int64_t fence = 0; ///< higher than that of every leader before
+    std::int64_t fence = 0; ///< fencing token, higher than that of every earlier leader
     std::int64_t term = 0;
-    /// The leader before is known to have stopped: it gave the lease up, or it was an earlier
+    /// The predecessor is known to have stopped: it released the lease, or it was an earlier
     /// process of this entry VM.
     bool predecessorStopped = false;
-    bool isFirst = false; ///< nobody led before, or an earlier process of this entry VM
-    /// The leader before named all VMs that it may have given orders about lately.
-    bool knowsOrders = false;
-    std::vector<std::string> orderedVms; ///< these; no order about them for the hand-over delay
+    bool isFirst = false; ///< no predecessor, or it was an earlier process of this entry VM
+    /// `orderedVms` contains all VMs about which the predecessor may have given recent orders.
+    bool knowsPredecessorOrders = false;
+    std::vector<std::string> orderedVms; ///< get no order before the hand-over delay is over
 };
 
 /// Takes, renews and watches the lease.
@@ -61,7 +63,7 @@
     {
         std::function<void(const Tenure &)> onLead;
         std::function<void(const std::string &why)> onLost;
-        /// VMs about which orders were given lately.
+        /// Returns the VMs about which orders were given within the hand-over delay.
         std::function<std::vector<std::string>()> orderedVms = [] {
             return std::vector<std::string>{};
         };
@@ -81,8 +83,8 @@
     {
         while (!this->released) {
             if (this->leading)
-                co_await this->keep();
-            else if (this->mustLook())
+                co_await this->maintain();
+            else if (this->mustReadLease())
                 co_await this->watch();
             co_await pause(this->times.tick);
         }
@@ -104,26 +106,26 @@
         return this->version;
     }
 
-    /// Where the leader is asked; nothing while none is known.
+    /// Address of the current leader, if one is known.
     std::optional<model::Endpoint> leaderAddress() const
     {
         return this->leader;
     }
 
-    /// The leader has answered, with the version of its lease row.
+    /// Notes that the leader answered, and the version of its lease row that it reported.
     void heard(std::int64_t leaseVersion)
     {
-        this->heardAt = bootNow();
-        this->see(leaseVersion);
+        this->leaderAnsweredAt = bootNow();
+        this->noteVersion(leaseVersion);
     }
 
-    /// The one asked does not lead, or is about to stop.
+    /// Notes that the presumed leader does not lead, or is about to stop.
     void denied()
     {
-        this->heardAt = {};
+        this->leaderAnsweredAt = {};
     }
 
-    /// A worker has heard a newer leader.
+    /// Ends this tenure, for instance because a worker or the store knows a newer leader.
     void deposed(const std::string &why)
     {
         if (!this->leading)
@@ -133,9 +135,9 @@
         this->events.onLost(why);
     }
 
-    /// Writes into the lease row that orders about these VMs are about to be given. A successor
-    /// then knows which VMs to leave alone for a while, and need not wait with all others. False:
-    /// they must not be given.
+    /// Records in the lease row that orders about these VMs are about to be given, so that a
+    /// successor delays its orders about these VMs only, instead of all. If it returns false, the
+    /// orders must not be given.
     Awaitable<bool> announce(std::vector<std::string> vms)
     {
         while (this->leading && this->isWriting)
@@ -148,33 +150,35 @@
         co_return this->leading &&state == store::CommitState::Committed;
     }
 
-    /// Returns once the store has just confirmed the lease, or this process does not lead.
+    /// Returns once the store has just confirmed the lease, this process no longer leads, or at
+    /// `latest`.
     Awaitable<void> awaitConfirmation(Instant latest) const
     {
         while (this->leading && this->sinceConfirmed() > this->times.tick * 2 && bootNow() < latest)
             co_await pause(this->times.tick);
     }
 
-    /// Gives the lease up for good. `orderedVms` are those that it gave orders about lately.
+    /// Releases the lease for good. `orderedVms` are the VMs about which orders were given within
+    /// the hand-over delay.
     Awaitable<void> release(std::vector<std::string> orderedVms)
     {
         this->released = true;
-        co_await this->free(std::move(orderedVms), "released", "");
+        co_await this->writeRelease(std::move(orderedVms), "released", "");
     }
 
-    /// Gives the lease up because this process can't lead now. `successor` is the address of the
-    /// one who should lead, if one is known.
+    /// Releases the lease because this process can't lead at present. `successor` is the address of
+    /// the entry VM that should lead instead; empty if none is known.
     Awaitable<void> stepDown(std::vector<std::string> orderedVms, std::string why,
                              std::string successor)
     {
         this->heldOffUntil = bootNow() + this->times.holdOff;
-        co_await this->free(std::move(orderedVms), std::move(why), std::move(successor));
+        co_await this->writeRelease(std::move(orderedVms), std::move(why), std::move(successor));
     }
 
 private:
     static constexpr auto writePause = std::chrono::milliseconds(5);
 
-    /// Writes the row under this lease, which renews it.
+    /// Writes the lease row with this process as the holder, which renews the lease.
     Awaitable<store::CommitState> write()
     {
         const auto begin = bootNow();
@@ -190,8 +194,8 @@
         co_return commit.state;
     }
 
-    Awaitable<void> free(std::vector<std::string> orderedVms, std::string why,
-                         std::string successor)
+    Awaitable<void> writeRelease(std::vector<std::string> orderedVms, std::string why,
+                                 std::string successor)
     {
         if (!this->leading)
             co_return;
@@ -231,38 +235,39 @@
                 {}};
     }
 
-    void see(std::int64_t seenVersion)
+    void noteVersion(std::int64_t newVersion)
     {
-        if (seenVersion == this->version && this->hasSeen)
+        if (newVersion == this->version && this->hasVersion)
             return;
-        this->hasSeen = true;
-        this->version = seenVersion;
-        this->seenSince = bootNow();
+        this->hasVersion = true;
+        this->version = newVersion;
+        this->versionSince = bootNow();
     }
 
-    /// Reads the row; false if the store did not answer.
-    Awaitable<bool> look(messages::LeaseRecord &record)
+    /// Reads the lease row. Returns false if the store did not answer.
+    Awaitable<bool> readLease(messages::LeaseRecord &record)
     {
         const store::PartRange range{table::lease, table::lease, "", ""};
         const auto page = co_await this->store.scan(range);
         if (!page.ok())
             co_return false;
         if (page->rows.empty()) {
-            this->see(store::absent);
+            this->noteVersion(store::absent);
             co_return true;
         }
         if (!record.ParseFromString(page->rows.front().value))
             LOG(ERROR) << "event=lease-unreadable version=" << page->rows.front().version;
-        this->see(page->rows.front().version);
+        this->noteVersion(page->rows.front().version);
         co_return true;
     }
 
-    // A leader that answers but does not renew has lost the store, and can record nothing.
-    bool mustLook() const
+    // True if the leader has not answered recently, or has not renewed its lease. A leader that
+    // answers without renewing has lost the store and can record nothing.
+    bool mustReadLease() const
     {
         const auto now = bootNow();
-        return now - this->heardAt > this->times.heard || !this->hasSeen
-               || now - this->seenSince > this->times.term;
+        return now - this->leaderAnsweredAt > this->times.leaderAnswerMaxAge || !this->hasVersion
+               || now - this->versionSince > this->times.term;
     }
 
     bool isMine(const messages::LeaseRecord &record) const
@@ -275,32 +280,32 @@
         const auto now = bootNow();
         const bool isHeldOff = now < this->heldOffUntil;
         const bool isWaiting = this->freeSince != Instant{};
-        if (now - this->lookedAt < (isWaiting ? this->times.tick : this->times.look))
+        if (now - this->leaseReadAt < (isWaiting ? this->times.tick : this->times.readPeriod))
             co_return;
-        this->lookedAt = now;
+        this->leaseReadAt = now;
         messages::LeaseRecord record;
-        if (!co_await this->look(record))
+        if (!co_await this->readLease(record))
             co_return;
         if (this->isMine(record)) {
-            // The take of this lease was applied, though its answer was lost; or giving it up was
-            // not, and then it runs out.
+            // Either this process acquired the lease and the answer was lost, or its release of the
+            // lease was not applied, in which case the lease expires.
             if (!isHeldOff)
-                this->lead(this->version, now, this->takes);
+                this->lead(this->version, now, this->pendingTenure);
             co_return;
         }
         this->leader = model::parseEndpoint(record.address());
         const bool isFree = record.holder().empty();
-        const bool isOwnPast = record.holder() == this->self;
-        const bool isOver = bootNow() - this->seenSince > this->times.term;
+        const bool isEarlierProcess = record.holder() == this->self;
+        const bool isExpired = bootNow() - this->versionSince > this->times.term;
         Tenure next;
         next.term = record.term() + 1;
-        next.predecessorStopped = isFree || isOwnPast;
-        next.isFirst = record.term() == 0 || isOwnPast;
-        next.knowsOrders = record.term() > 0 && (isFree || record.announces_orders());
-        // Orders of this entry VM's earlier process are its own.
-        if (!isOwnPast)
+        next.predecessorStopped = isFree || isEarlierProcess;
+        next.isFirst = record.term() == 0 || isEarlierProcess;
+        next.knowsPredecessorOrders = record.term() > 0 && (isFree || record.announces_orders());
+        // Orders of an earlier process of this entry VM count as its own.
+        if (!isEarlierProcess)
             next.orderedVms.assign(record.ordered_vms().begin(), record.ordered_vms().end());
-        if (!isFree && !isOwnPast && !isOver) {
+        if (!isFree && !isEarlierProcess && !isExpired) {
             this->freeSince = {};
             co_return;
         }
@@ -308,11 +313,11 @@
             this->freeSince = now;
         if (isHeldOff)
             co_return;
-        if (isOwnPast || now - this->freeSince >= this->delayFor(record, now))
-            co_await this->take(next);
+        if (isEarlierProcess || now - this->freeSince >= this->delayFor(record, now))
+            co_await this->acquire(next);
     }
 
-    // Where entry VMs are restarted in turn, those that have had theirs lead on.
+    // Recently started processes come first: in a rolling restart they have already been restarted.
     Duration delayFor(const messages::LeaseRecord &record, Instant now) const
     {
         if (!record.holder().empty())
@@ -321,16 +326,16 @@
             return record.successor() == model::toString(this->address)
                        ? Duration::zero()
                        : this->times.takeDelay + this->times.successorLead;
-        const auto age = std::min(now - this->begunAt, this->times.restartMemory);
+        const auto age = std::min(now - this->startedAt, this->times.maxAgeDelayAt);
         return this->times.takeDelay
-               + this->times.youthDelay * (age / std::chrono::milliseconds(1))
-                     / (this->times.restartMemory / std::chrono::milliseconds(1));
+               + this->times.maxAgeDelay * (age / std::chrono::milliseconds(1))
+                     / (this->times.maxAgeDelayAt / std::chrono::milliseconds(1));
     }
 
-    Awaitable<void> take(Tenure next)
+    Awaitable<void> acquire(Tenure next)
     {
         const auto begin = bootNow();
-        this->takes = next;
+        this->pendingTenure = next;
         this->tenure.term = next.term;
         const auto transaction = this->transaction(this->record());
         const auto commit = co_await this->store.commit(transaction);
@@ -352,11 +357,11 @@
         this->events.onLead(this->tenure);
     }
 
-    Awaitable<void> keep()
+    Awaitable<void> maintain()
     {
         const auto begin = bootNow();
         if (begin - this->confirmedAt > this->times.orderLimit) {
-            this->deposed("the store does not confirm the lease");
+            this->deposed("the store has not confirmed the lease within the order limit");
             co_return;
         }
         if (begin - this->renewedAt < this->times.renew || this->isWriting)
@@ -365,10 +370,10 @@
         if (!this->leading || state == store::CommitState::Committed
             || state == store::CommitState::NotApplied)
             co_return;
-        // An earlier renewal may have been applied late, which moves the version on.
+        // An earlier renewal may have been applied late and changed the row's version.
         messages::LeaseRecord record;
         const auto asked = bootNow();
-        if (!co_await this->look(record) || !this->leading)
+        if (!co_await this->readLease(record) || !this->leading)
             co_return;
         if (this->isMine(record))
             this->confirmedAt = asked;
@@ -385,19 +390,19 @@
     Tenure tenure;
     bool leading = false;
     bool released = false;
-    bool isWriting = false; // a write of the row is under way
-    std::vector<std::string> announced; // VMs of orders that wait for that write
-    Tenure takes; // of the take that is under way
-    bool hasSeen = false;
-    std::int64_t version = store::absent; // of the row, as last seen or written
-    Instant seenSince{}; // when the row was first seen at this version
+    bool isWriting = false; // a write of the lease row is in progress
+    std::vector<std::string> announced; // VMs of orders that wait for the write of the lease row
+    Tenure pendingTenure; // tenure that begins if the attempt to acquire succeeds
+    bool hasVersion = false;
+    std::int64_t version = store::absent; // version of the lease row, as last read or written
+    Instant versionSince{}; // when this version of the lease row was first seen
     Instant confirmedAt{}; // when the last confirmed renewal was sent
-    Instant renewedAt{};
-    Instant heardAt{};
-    Instant lookedAt{};
-    Instant begunAt = bootNow(); // when this process began
+    Instant renewedAt{}; // when the last renewal was sent
+    Instant leaderAnsweredAt{}; // when the leader last answered
+    Instant leaseReadAt{}; // when the lease row was last read
+    Instant startedAt = bootNow(); // approximate start of this process
     Instant freeSince{}; // when the lease was first seen free
-    Instant heldOffUntil{}; // until then it takes no lease
+    Instant heldOffUntil{}; // this process takes no lease before
     std::optional<model::Endpoint> leader;
 };
 
--- a/packages/coordination/include/sassafrasferry/coordination/load_watch.h
+++ b/packages/coordination/include/sassafrasferry/coordination/load_watch.h
@@ -1,4 +1,4 @@
-// Notices a leader that never gets to know what it has to know.
+// Detects a leader that makes no progress in loading jobs and workers.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -8,32 +8,33 @@
 
 namespace sassafrasferry::coordination {
 
-/// What is watched, and what to do.
+/// The observed leader and the reaction to a stall.
 struct LoadWatch
 {
-    std::function<std::size_t()> steps; ///< parts of the store's tables that have been read
-    std::function<bool()> isOver; ///< all is known, or the leader has stopped
-    std::function<Duration()> sinceConfirmed; ///< how long ago the store confirmed the lease
-    Duration stall{}; ///< without a further step
+    std::function<std::size_t()> steps; ///< returns the number of table reads completed so far
+    std::function<bool()> isDone; ///< everything is loaded, or the leader has stopped
+    std::function<Duration()> sinceConfirmed; ///< time since the store last confirmed the lease
+    Duration stall{}; ///< time without progress after which `onStall` is called
     std::function<void()> onStall;
 };
 
-/// A leader that renews its lease but never learns the jobs keeps all others from leading, and
-/// callers wait for good. Since the store confirms its lease, others can read what it can't.
+/// Calls `onStall` when loading stalls. A leader that renews its lease but never finishes loading
+/// keeps all others from leading, and callers wait forever. Time without a confirmed lease does not
+/// count: while the store confirms the lease, another entry VM can probably read the tables.
 inline Awaitable<void> watchLoad(LoadWatch watch)
 {
-    static constexpr Duration confirmedLately = std::chrono::milliseconds(1000);
+    static constexpr Duration maxConfirmationAge = std::chrono::milliseconds(1000);
     static constexpr auto tick = std::chrono::milliseconds(200);
     auto seen = watch.steps();
-    auto movedAt = bootNow();
-    while (!watch.isOver()) {
+    auto progressAt = bootNow();
+    while (!watch.isDone()) {
         co_await pause(tick);
         const auto now = bootNow();
         const auto steps = watch.steps();
-        if (steps != seen || watch.sinceConfirmed() > confirmedLately)
-            movedAt = now;
+        if (steps != seen || watch.sinceConfirmed() > maxConfirmationAge)
+            progressAt = now;
         seen = steps;
-        if (now - movedAt > watch.stall && !watch.isOver())
+        if (now - progressAt > watch.stall && !watch.isDone())
             watch.onStall();
     }
 }
--- a/packages/coordination/include/sassafrasferry/coordination/vm_survey.h
+++ b/packages/coordination/include/sassafrasferry/coordination/vm_survey.h
@@ -1,4 +1,4 @@
-// What a new leader learns from the platform's list of VMs.
+// Informs a new leader's scheduler of workers from the platform's list of VMs.
 #pragma once
 
 #include <sassafrasferry/coordination/fleet_keeper.h>
@@ -9,10 +9,11 @@
 
 namespace sassafrasferry::coordination {
 
-/// Tells the scheduler which incarnations of VMs may run something. A worker that is cut off from
-/// the store is in the platform's list alone; one whose VM was moved may still be in the store's.
-inline void takeVms(scheduling::Scheduler &scheduler, const std::vector<scheduling::Vm> &vms,
-                    const std::set<std::string> &listedBefore)
+/// Tells the scheduler which worker incarnations may still run tasks. A worker that is cut off from
+/// the store appears in the platform's list only. A worker whose VM was moved may still have an
+/// entry in the store.
+inline void applyVmList(scheduling::Scheduler &scheduler, const std::vector<scheduling::Vm> &vms,
+                        const std::set<std::string> &listedBefore)
 {
     for (const auto &vm : vms) {
         if (!vm.worker.empty())
@@ -25,7 +26,7 @@
     }
 }
 
-/// Asks for the list until it is answered, or until `isStopped`.
+/// Requests the list until the platform answers, or `isStopped` returns true.
 template<CloudCalls Cloud>
 Awaitable<void> surveyVms(Cloud &cloud, scheduling::Scheduler &scheduler,
                           std::function<bool()> isStopped)
@@ -39,7 +40,7 @@
         if (isStopped())
             co_return;
         if (vms.ok()) {
-            takeVms(scheduler, *vms, listedBefore);
+            applyVmList(scheduler, *vms, listedBefore);
             co_return;
         }
         co_await pause(retryPause);
--- a/packages/coordination/include/sassafrasferry/coordination/worker_calls.h
+++ b/packages/coordination/include/sassafrasferry/coordination/worker_calls.h
@@ -1,4 +1,4 @@
-// What a client of a worker must offer.
+// The interface of a client of a worker.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -9,21 +9,23 @@
 
 namespace sassafrasferry::coordination {
 
-/// Lengthens the lease of all that runs on a worker, and asks what does.
+/// Extends the lease of all runs of a worker and requests a report of them (a heartbeat).
 struct HoldRequest
 {
     std::int64_t fence = 0;
-    std::int64_t acknowledged = 0; ///< ends up to this number need not be listed again
-    std::optional<std::int64_t> until; ///< end of the lease, by the worker's clock
-    std::chrono::milliseconds wait{0}; ///< for an end, before it answers
-    /// For the answer, beyond `wait`; nothing: as for any call. Not for calls through a relay.
+    std::int64_t acknowledged = 0; ///< the worker drops its ends of runs up to this number
+    std::optional<std::int64_t> until; ///< end of the lease by the worker's clock
+    /// How long the worker waits for an end of a run before it answers.
+    std::chrono::milliseconds wait{0};
+    /// Timeout of the answer in addition to `wait`. If empty, the timeout of other calls applies.
+    /// Ignored by calls through a relay.
     std::optional<std::chrono::milliseconds> patience;
 };
 
 struct HoldAnswer
 {
     scheduling::OrderAnswer answer = scheduling::OrderAnswer::NoAnswer;
-    scheduling::WorkerReport report; ///< if accepted
+    scheduling::WorkerReport report; ///< valid if `answer` is Accepted
 };
 
 template<typename T>
--- a/packages/coordination/include/sassafrasferry/coordination/worker_roster.h
+++ b/packages/coordination/include/sassafrasferry/coordination/worker_roster.h
@@ -1,4 +1,4 @@
-// The workers that the leader talks with: a session for each that lists itself.
+// Keeps a session between the leader and each worker that has an entry in the store.
 #pragma once
 
 #include <sassafrasferry/coordination/worker_session.h>
@@ -11,7 +11,8 @@
 
 namespace sassafrasferry::coordination {
 
-/// Follows the workers' entries. `Platform` decodes them; `Worker` makes the calls.
+/// Opens and closes sessions as the workers' entries change. `Platform` decodes the entries;
+/// `Worker` is the client of a worker.
 template<typename Platform, WorkerCalls Worker>
 class WorkerRoster
 {
@@ -29,7 +30,7 @@
         , events(std::move(events))
     {}
 
-    /// Entries of workers, all of them or those that changed.
+    /// Applies the entries of workers: all of them if `isWhole`, else those that changed.
     void take(const std::vector<store::PartRow> &rows, bool isWhole)
     {
         const auto now = bootNow();
@@ -53,14 +54,14 @@
         this->giveAll(std::move(orders.paces));
     }
 
-    /// Ends have been recorded, and can be acknowledged.
-    void tellRecorded()
+    /// Called when ends of runs have been recorded, and so can be acknowledged to the workers.
+    void acknowledgeRecorded()
     {
         for (auto &entry : this->sessions)
-            entry.second->recorded();
+            entry.second->onEndsRecorded();
     }
 
-    /// Drops what is kept of workers that are gone.
+    /// Drops the state of workers that are gone.
     void forget(Instant now)
     {
         this->scheduler.forgetWorkers(now);
@@ -74,7 +75,7 @@
                       [&](const auto &entry) { return this->sessions.count(entry.first) == 0; });
     }
 
-    /// No worker is called any more, and the scheduler is not touched.
+    /// Stops all sessions. No worker is called and the scheduler is not accessed afterwards.
     void stop()
     {
         for (auto &entry : this->sessions)
@@ -135,7 +136,7 @@
     MakeWorker makeWorker;
     SessionEvents events;
     std::map<std::string, std::shared_ptr<Session>> sessions; // by worker
-    std::map<std::string, model::Endpoint> addresses; // of the sessions
+    std::map<std::string, model::Endpoint> addresses; // by worker, as used by its session
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/worker_session.h
+++ b/packages/coordination/include/sassafrasferry/coordination/worker_session.h
@@ -1,4 +1,5 @@
-// The leader's talk with one worker: a hold that is always under way, and orders beside it.
+// The leader's session with one worker: a hold call that is always outstanding (a long poll that
+// renews leases and returns a report), and orders in parallel to it.
 #pragma once
 
 #include <sassafrasferry/coordination/end_cursor.h>
@@ -16,12 +17,12 @@
 
 namespace sassafrasferry::coordination {
 
-/// What a session tells its leader.
+/// Callbacks of a session into its leader.
 struct SessionEvents
 {
-    std::function<void()> onChange; ///< the scheduler has something to plan for
-    std::function<void(const std::string &why)> onFenced; ///< a newer leader is about
-    std::function<bool()> mayOrder; ///< the lease was confirmed lately enough
+    std::function<void()> onChange; ///< called when the scheduler should plan again
+    std::function<void(const std::string &why)> onFenced; ///< the worker knows a newer leader
+    std::function<bool()> canOrder; ///< the lease was confirmed recently enough to give orders
 };
 
 template<WorkerCalls Worker>
@@ -37,7 +38,7 @@
         , calls(std::move(calls))
         , fence(fence)
         , events(std::move(events))
-        , nudge(executor)
+        , wake(executor)
     {}
 
     void begin()
@@ -47,11 +48,11 @@
         });
     }
 
-    /// Nothing is sent any more, and the scheduler is not touched.
+    /// Sends no further calls. The scheduler is not accessed afterwards.
     void stop()
     {
         this->stopped = true;
-        this->nudge.notify();
+        this->wake.notify();
     }
 
     void order(scheduling::StartOrder order)
@@ -69,20 +70,20 @@
         this->push(std::move(order));
     }
 
-    /// Ends of this worker have been recorded.
-    void recorded()
+    /// Called when ends of runs have been recorded.
+    void onEndsRecorded()
     {
-        if (this->awaitsRecord)
-            this->nudge.notify();
+        if (this->isAwaitingRecord)
+            this->wake.notify();
     }
 
-    /// How long a new leader waits for one answer of one worker. All known tasks wait until every
-    /// worker has answered once, so a lost answer is asked for again soon. With many workers the
-    /// answers themselves take their time.
-    static std::chrono::milliseconds surveyPatience(std::size_t workers)
+    /// How long a new leader waits for one worker's answer to its first hold. All known tasks wait
+    /// until every worker has answered once, so the call is repeated soon after a lost answer. The
+    /// timeout grows with the number of workers, since processing their answers takes longer.
+    static std::chrono::milliseconds surveyTimeout(std::size_t workers)
     {
         const auto wanted = surveyPerWorker * static_cast<int>(workers);
-        return std::clamp<std::chrono::milliseconds>(wanted, leastSurvey, mostSurvey);
+        return std::clamp<std::chrono::milliseconds>(wanted, minSurveyTimeout, maxSurveyTimeout);
     }
 
 private:
@@ -91,15 +92,17 @@
 
     static constexpr std::chrono::milliseconds holdWait{1000};
     static constexpr std::chrono::milliseconds surveyPerWorker{3};
-    static constexpr std::chrono::milliseconds leastSurvey{250};
-    static constexpr std::chrono::milliseconds mostSurvey{800};
+    static constexpr std::chrono::milliseconds minSurveyTimeout{250};
+    static constexpr std::chrono::milliseconds maxSurveyTimeout{800};
     static constexpr auto retryPause = std::chrono::milliseconds(100);
-    // A hold answers at once while an end is not acknowledged, so it waits for the record.
+    // A hold returns at once while an end is unacknowledged, so the next one waits up to this long
+    // for the end to be recorded.
     static constexpr auto recordWait = std::chrono::milliseconds(80);
-    // Ends of a worker are gathered for as long as keeps the answers of all workers bearable.
-    static constexpr auto gatherPerWorker = std::chrono::microseconds(200);
-    static constexpr Duration mostGather = std::chrono::milliseconds(100);
-    static constexpr std::size_t mostOrdersAtOnce = 2;
+    // After a hold that reported ends, the next one is delayed in proportion to the number of
+    // workers, which limits the rate of answers from all workers together.
+    static constexpr auto endBatchDelayPerWorker = std::chrono::microseconds(200);
+    static constexpr Duration maxEndBatchDelay = std::chrono::milliseconds(100);
+    static constexpr std::size_t maxConcurrentOrders = 2;
 
     Awaitable<void> holdLoop()
     {
@@ -107,7 +110,7 @@
             const auto *worker = this->scheduler.findWorker(this->id);
             if (!worker || worker->over)
                 co_return;
-            if (!this->events.mayOrder()) {
+            if (!this->events.canOrder()) {
                 co_await pause(retryPause);
                 continue;
             }
@@ -120,7 +123,7 @@
             if (!isSurvey)
                 request.wait = holdWait;
             else
-                request.patience = surveyPatience(this->scheduler.listedWorkers());
+                request.patience = surveyTimeout(this->scheduler.listedWorkers());
             auto answer = co_await this->calls->hold(request);
             if (this->stopped)
                 co_return;
@@ -131,28 +134,28 @@
     Awaitable<void> take(HoldAnswer answer, std::int64_t acknowledged, Instant asked)
     {
         if (answer.answer == scheduling::OrderAnswer::Accepted) {
-            this->noteReach(true, answer.answer);
+            this->setReachable(true, answer.answer);
             this->scheduler.report(answer.report, asked, bootNow());
             if (const auto *reported = this->scheduler.findWorker(this->id))
                 this->cursor.answered(acknowledged, answer.report, *reported);
             this->events.onChange();
-            const auto gather = this->scheduler.listedWorkers() * gatherPerWorker;
+            const auto batchDelay = this->scheduler.listedWorkers() * endBatchDelayPerWorker;
             if (!answer.report.ended.empty())
-                co_await pause(std::min<Duration>(gather, mostGather));
+                co_await pause(std::min<Duration>(batchDelay, maxEndBatchDelay));
             if (this->stopped)
                 co_return;
             const auto *worker = this->scheduler.findWorker(this->id);
             if (worker && worker->endsSeen > worker->endsRecorded) {
-                this->awaitsRecord = true;
-                co_await this->nudge.wait(recordWait);
-                this->awaitsRecord = false;
+                this->isAwaitingRecord = true;
+                co_await this->wake.wait(recordWait);
+                this->isAwaitingRecord = false;
             }
             co_return;
         }
         this->cursor.failed();
-        this->noteReach(false, answer.answer);
+        this->setReachable(false, answer.answer);
         if (answer.answer == scheduling::OrderAnswer::Fenced) {
-            this->events.onFenced("worker " + this->id + " has heard a newer leader");
+            this->events.onFenced("worker " + this->id + " knows a leader with a higher fence");
             co_return;
         }
         if (answer.answer == scheduling::OrderAnswer::OtherIncarnation) {
@@ -163,28 +166,28 @@
         co_await pause(retryPause);
     }
 
-    void noteReach(bool reached, scheduling::OrderAnswer answer)
+    void setReachable(bool isReachable, scheduling::OrderAnswer answer)
     {
-        if (reached == this->reachable)
+        if (isReachable == this->reachable)
             return;
-        this->reachable = reached;
-        LOG(WARNING) << "event=worker-" << (reached ? "regained" : "lost") << " worker=" << this->id
-                     << " answer=" << model::nameOf(answer);
+        this->reachable = isReachable;
+        LOG(WARNING) << "event=worker-" << (isReachable ? "regained" : "lost")
+                     << " worker=" << this->id << " answer=" << model::nameOf(answer);
     }
 
     void push(Order order)
     {
         this->orders.push_back(std::move(order));
-        if (this->busy >= mostOrdersAtOnce)
+        if (this->orderSenders >= maxConcurrentOrders)
             return;
-        ++this->busy;
+        ++this->orderSenders;
         spawn(
             this->executor, "orders " + this->id,
-            [self = this->shared_from_this()] { return self->work(); },
-            [self = this->shared_from_this()](const std::string &) { --self->busy; });
+            [self = this->shared_from_this()] { return self->sendOrders(); },
+            [self = this->shared_from_this()](const std::string &) { --self->orderSenders; });
     }
 
-    Awaitable<void> work()
+    Awaitable<void> sendOrders()
     {
         while (!this->orders.empty() && !this->stopped) {
             auto order = std::move(this->orders.front());
@@ -196,7 +199,7 @@
             else
                 co_await this->send(std::get<scheduling::PaceOrder>(order));
         }
-        --this->busy;
+        --this->orderSenders;
     }
 
     Awaitable<void> send(const scheduling::StartOrder &order)
@@ -204,7 +207,7 @@
         const auto now = bootNow();
         auto answer = scheduling::OrderAnswer::NotSent;
         const auto until = this->scheduler.leaseUntil(this->id, now);
-        if (until && now < order.expires && this->events.mayOrder())
+        if (until && now < order.expires && this->events.canOrder())
             answer = co_await this->calls->start(order, *until, this->fence);
         if (this->stopped)
             co_return;
@@ -231,22 +234,22 @@
     void answered(scheduling::OrderAnswer answer)
     {
         if (answer == scheduling::OrderAnswer::Fenced)
-            this->events.onFenced("worker " + this->id + " has heard a newer leader");
+            this->events.onFenced("worker " + this->id + " knows a leader with a higher fence");
         else if (answer != scheduling::OrderAnswer::Accepted)
             this->events.onChange();
     }
 
     http::asio::any_io_executor executor;
-    scheduling::Scheduler &scheduler; // outlives every call made before `stop`
+    scheduling::Scheduler &scheduler; // outlives the session until `stop`, not accessed afterwards
     std::string id;
     std::unique_ptr<Worker> calls;
     std::int64_t fence;
     SessionEvents events;
-    Wake nudge;
+    Wake wake;
     EndCursor cursor;
     std::deque<Order> orders;
-    std::size_t busy = 0; // coroutines that send orders
-    bool awaitsRecord = false;
+    std::size_t orderSenders = 0; // number of coroutines that send orders
+    bool isAwaitingRecord = false;
     bool reachable = true;
     bool stopped = false;
 };
--- a/packages/coordination/src/fleet_keeper_test.cpp
+++ b/packages/coordination/src/fleet_keeper_test.cpp
@@ -1,4 +1,4 @@
-// Orders about VMs between the planner's look and the call.
+// Tests changes of a worker between the planner's decision about its VM and the call.
 #include <sassafrasferry/coordination/fleet_keeper.h>
 
 #include <boost/asio/io_context.hpp>
@@ -14,9 +14,9 @@
 
 constexpr const char *vm = "vm";
 constexpr const char *workerId = "w";
-constexpr auto patience = std::chrono::milliseconds(400);
+constexpr auto runTime = std::chrono::milliseconds(400);
 
-/// A cloud of one VM, which notes the orders.
+/// A cloud of one VM that counts the orders.
 struct OneVmCloud
 {
     std::size_t orders = 0;
@@ -35,18 +35,18 @@
     }
 };
 
-/// What becomes known of the worker while the order is announced.
-enum class News {
+/// What the scheduler learns about the worker while the order is announced.
+enum class WorkerChange {
     None,
     Run,
     UnrecordedEnd,
     NextIncarnation,
 };
 
-/// A worker with a job's runs, and the order to maintain its VM.
-struct Upkeep
+/// A scheduler with one job and one worker, whose VM is to be maintained.
+struct MaintainedWorker
 {
-    Upkeep()
+    MaintainedWorker()
         : scheduler(scheduling::SchedulerTimes{}, 0, bootNow())
     {
         scheduling::Configuration configuration;
@@ -85,14 +85,14 @@
                                now, now);
     }
 
-    void tell(News news)
+    void apply(WorkerChange change)
     {
         const scheduling::TaskId task{"j", 0, 0, 0};
-        if (news == News::Run)
+        if (change == WorkerChange::Run)
             this->report({{task, 5, "", 100, 0}}, {});
-        else if (news == News::UnrecordedEnd)
+        else if (change == WorkerChange::UnrecordedEnd)
             this->report({}, {{1, task, 5, jobs::RunEnd::Done, ""}});
-        else if (news == News::NextIncarnation)
+        else if (change == WorkerChange::NextIncarnation)
             this->list(200);
     }
 
@@ -102,31 +102,32 @@
 
 } // namespace
 
-// Guards against tasks that run again after they were done: the announcement of an order takes its
-// time, and what the worker told meanwhile was lost with it.
-TEST_CASE("An order about a VM is not given if its worker turns out to hold something")
+// Guards against tasks that run again after they were done: the announcement of an order takes
+// time, and an order given in spite of a run or an end that was reported meanwhile would destroy
+// it.
+TEST_CASE("An order about a VM is not given if its worker may hold work by then")
 {
     struct Case
     {
         const char *name;
-        News news;
+        WorkerChange change;
         bool isGiven;
     };
-    const auto row =
-        GENERATE(Case{"nothing", News::None, true}, Case{"a run", News::Run, false},
-                 Case{"an end that is not recorded", News::UnrecordedEnd, false},
-                 Case{"an incarnation that may run something", News::NextIncarnation, false});
+    const auto row = GENERATE(
+        Case{"nothing", WorkerChange::None, true}, Case{"a run", WorkerChange::Run, false},
+        Case{"an end that is not recorded", WorkerChange::UnrecordedEnd, false},
+        Case{"an incarnation that may run something", WorkerChange::NextIncarnation, false});
     CAPTURE(row.name);
     http::asio::io_context context;
     MemoryStore memory;
     OneVmCloud cloud;
-    Upkeep upkeep;
+    MaintainedWorker maintained;
     typename FleetKeeper<MemoryStore, OneVmCloud>::Options options;
     options.announce = [&](std::vector<std::string>) -> Awaitable<bool> {
-        upkeep.tell(row.news);
+        maintained.apply(row.change);
         co_return true;
     };
-    options.mayOrder = [] {
+    options.canOrder = [] {
         return true;
     };
     options.statusRow = [](std::int64_t, bool) {
@@ -135,11 +136,11 @@
     options.onChange = [] {
     };
     auto keeper = std::make_shared<FleetKeeper<MemoryStore, OneVmCloud>>(
-        context.get_executor(), memory, cloud, upkeep.scheduler, std::move(options));
+        context.get_executor(), memory, cloud, maintained.scheduler, std::move(options));
     keeper->addWave({1, {vm}, std::chrono::seconds(20), 1});
     keeper->begin();
-    context.run_for(patience);
+    context.run_for(runTime);
     CHECK((cloud.orders > 0) == row.isGiven);
     keeper->stop();
-    context.run_for(patience);
+    context.run_for(runTime);
 }
--- a/packages/coordination/src/leader_test.cpp
+++ b/packages/coordination/src/leader_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Never answers.
+/// A worker that never answers.
 struct SilentWorker
 {
     SilentWorker(http::asio::any_io_executor, std::string, const model::Endpoint &)
@@ -82,8 +82,8 @@
     std::string name;
     ReadFault fault;
     std::string table;
-    bool gives; ///< the leader says that it can't lead
-    bool leads; ///< it becomes ready
+    bool isFailing; ///< expected: the leader reports that it can't lead
+    bool isReady; ///< expected: the leader becomes ready
 };
 
 const std::vector<Case> cases{
@@ -96,10 +96,10 @@
 
 } // namespace
 
-// A caller gets no state of any job, and no task starts. The leader renews its lease, but its own
-// loading has ended by an exception, or never ends: since the lease is confirmed, no other entry VM
-// takes it. The leader has to notice this by itself, and to give way.
-TEST_CASE("A leader that can't learn the jobs says so")
+// Guards against a leader whose loading has ended by an exception, or never ends, while it keeps
+// renewing its lease: callers get no state of any job, no task starts, and no other entry VM takes
+// the lease. The leader has to detect this and report it, so that its lease is released.
+TEST_CASE("A leader that can't load the jobs reports a failure")
 {
     const auto row = GENERATE(from_range(cases));
     CAPTURE(row.name);
@@ -132,15 +132,15 @@
     leader->begin();
     while (!isOver && !leader->isReady())
         context.run_one();
-    CHECK(leader->isReady() == row.leads);
-    CHECK(failures.empty() != row.gives);
+    CHECK(leader->isReady() == row.isReady);
+    CHECK(failures.empty() != row.isFailing);
     leader->stop();
     context.run_for(std::chrono::milliseconds(300));
 }
 
-// A task runs twice. A worker is cut off from the store, so it has no entry there, and the process
-// that leads is killed; the next process of the same entry VM leads on at once. It knows nothing of
-// the worker unless it reads the platform's list, like any other new leader.
+// Guards against a task that runs twice. A worker is cut off from the store, so it has no entry
+// there, and the leading process is killed. The next process of the same entry VM leads at once,
+// and learns of the worker only if it reads the platform's list, like any other new leader.
 TEST_CASE("A leader that was restarted waits for workers that only the platform lists")
 {
     const std::int64_t term = GENERATE(1, 2);
@@ -172,24 +172,24 @@
     context.run_for(std::chrono::milliseconds(300));
 }
 
-// After a takeover every known task waits until all workers have answered. Where a third of the
-// answers gets lost, some worker of thirty has to be asked four times.
-TEST_CASE("A survey asks again soon where workers are few")
+// Guards against long waits after a takeover, when every known task waits until all workers have
+// answered. If a third of the answers is lost, one of thirty workers has to be called four times.
+TEST_CASE("The survey timeout is short for few workers and grows with their number")
 {
     struct Row
     {
         std::size_t workers;
-        int patience; // ms
+        int timeout; // ms
     };
     const auto row = GENERATE(Row{1, 250}, Row{48, 250}, Row{100, 300}, Row{350, 800});
     CAPTURE(row.workers);
-    CHECK(WorkerSession<SilentWorker>::surveyPatience(row.workers).count() == row.patience);
+    CHECK(WorkerSession<SilentWorker>::surveyTimeout(row.workers).count() == row.timeout);
 }
 
-// The entry VM crashes some moments after it lost the lease. A leader is stopped while it waits for
-// the store, and its parts are dropped; the answer that comes then must not find them gone. Shown
-// by the address sanitizer.
-TEST_CASE("A leader that is stopped while it loads leaves nothing behind")
+// Guards against a crash of the entry VM shortly after it lost the lease. A leader is stopped and
+// releases its parts while one of them waits for the store, whose answer must not access a
+// destroyed part. The address sanitizer detects such an access.
+TEST_CASE("A leader that is stopped while it loads is destroyed safely")
 {
     const int answersBefore = GENERATE(range(0, 12));
     CAPTURE(answersBefore);
--- a/packages/coordination/src/leadership_test.cpp
+++ b/packages/coordination/src/leadership_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Two entry VMs that want the lease of one store.
+/// Two entry VMs that compete for the lease of one store. The first one leads at the beginning.
 struct Pair
 {
     explicit Pair(LeadershipTimes times)
@@ -43,14 +43,13 @@
     MemoryStore store;
     Leadership<MemoryStore> first;
     Leadership<MemoryStore> second;
-    Tenure taken; // by the second
+    Tenure taken; // the second one's tenure
 };
 
 } // namespace
 
-// Callers wait while a leader that can't lead keeps its lease. It gives the lease up; were it to
-// take the free lease again at once, as an earlier process of the same entry VM may, the same would
-// happen for good. So it lets the other go first.
+// Guards against callers that wait forever for a leader that can't lead. Such a leader releases the
+// lease, and must not take it again at once, as a new process of the same entry VM may.
 TEST_CASE("A leader that stepped down lets another lead")
 {
     LeadershipTimes times;
@@ -61,12 +60,12 @@
     pair.runUntil([&] { return pair.second.leads(); });
     CHECK_FALSE(pair.first.leads());
     CHECK(pair.taken.predecessorStopped);
-    CHECK(pair.taken.knowsOrders);
+    CHECK(pair.taken.knowsPredecessorOrders);
     CHECK(pair.taken.orderedVms == std::vector<std::string>{"vm-7"});
     CHECK(pair.taken.term == 2);
 }
 
-TEST_CASE("A leader that stepped down leads again where no other does")
+TEST_CASE("A leader that stepped down leads again if no other takes the lease")
 {
     LeadershipTimes times;
     times.holdOff = std::chrono::milliseconds(200);
@@ -87,9 +86,9 @@
     CHECK(only.leads());
 }
 
-// A weak leader names the strongest that asks it. The others see the lease free as well, and some
-// of them are weak too: they let the one that is named come first.
-TEST_CASE("A lease that was given up is taken by the one it names")
+// Guards against a lease that passes from a weak leader to another weak entry VM. The leader names
+// the strongest entry VM as its successor, and the others delay their attempt to take the lease.
+TEST_CASE("A released lease is taken by the named successor first")
 {
     const bool namesSecond = GENERATE(true, false);
     LeadershipTimes times;
@@ -104,8 +103,8 @@
     CHECK(pair.second.leads() == namesSecond);
 }
 
-// The one that stepped down still has to know whom to ask on behalf of its callers.
-TEST_CASE("A leader that stepped down learns who leads")
+// An entry VM that stepped down needs the new leader's address to ask it on behalf of its callers.
+TEST_CASE("A leader that stepped down learns the address of the next leader")
 {
     LeadershipTimes times;
     times.holdOff = std::chrono::seconds(60);
@@ -118,9 +117,9 @@
     CHECK(model::toString(*pair.first.leaderAddress()) == "127.0.0.1:2");
 }
 
-// Nobody led from the signal until the store was back: the leader gave up a lease that nobody could
-// take.
-TEST_CASE("A leader that is stopped while the store is away leads on until it is back")
+// Guards against a time without a leader, from the signal to stop until the store is back: a lease
+// that is released during an outage of the store can't be taken by another entry VM.
+TEST_CASE("A leader that is stopped during a store outage leads until the store is back")
 {
     LeadershipTimes times;
     times.renew = std::chrono::milliseconds(50);
@@ -136,10 +135,10 @@
     CHECK(pair.first.leads());
     pair.store.isAway = false;
     pair.runUntil([&] { return pair.second.leads(); });
-    CHECK(pair.taken.knowsOrders);
+    CHECK(pair.taken.knowsPredecessorOrders);
 }
 
-TEST_CASE("A leader does not wait for the store beyond the end of its grace")
+TEST_CASE("A stopping leader does not wait for the store beyond its deadline")
 {
     Pair pair({});
     pair.store.isAway = true;
@@ -152,8 +151,9 @@
     CHECK_FALSE(pair.second.leads());
 }
 
-// No VM was moved for three seconds after a leader was lost, since its last orders were unknown.
-TEST_CASE("The VMs of announced orders are known to whoever takes the lease over")
+// Guards against a delay of three seconds for orders about all VMs after the loss of a leader whose
+// last orders are unknown.
+TEST_CASE("A successor learns the VMs of announced orders")
 {
     LeadershipTimes times;
     times.orderLimit = std::chrono::milliseconds(300);
@@ -166,11 +166,11 @@
     pair.first.deposed("its process ends");
     pair.runUntil([&] { return pair.second.leads(); });
     CHECK_FALSE(pair.taken.predecessorStopped);
-    CHECK(pair.taken.knowsOrders);
+    CHECK(pair.taken.knowsPredecessorOrders);
     CHECK(pair.taken.orderedVms == vms);
 }
 
-TEST_CASE("An order that the store does not take note of is not given")
+TEST_CASE("Orders that the store does not record are not announced")
 {
     Pair pair({});
     pair.store.isAway = true;
--- a/packages/coordination/src/worker_session_test.cpp
+++ b/packages/coordination/src/worker_session_test.cpp
@@ -1,4 +1,5 @@
-// Which ends a session acknowledges, and to whom: a worker may restart under its id at any time.
+// Tests which ends of runs a session acknowledges to which incarnation of a worker: a worker may
+// restart and keep its id at any time.
 #include <sassafrasferry/coordination/worker_session.h>
 
 #include <boost/asio/io_context.hpp>
@@ -14,25 +15,25 @@
 constexpr const char *workerId = "w";
 constexpr std::int64_t firstBorn = 100;
 
-/// A worker that restarts under its id. It answers from a script, and lists its ends until they are
-/// acknowledged.
+/// A worker that can restart and keep its id. `onHold` determines its answers. It lists its ends
+/// until they are acknowledged.
 struct ScriptedWorker
 {
     std::int64_t born = firstBorn;
     std::int64_t clock = 1000;
     std::vector<scheduling::ListedEnd> ends;
-    std::vector<std::int64_t> acknowledged; ///< of each hold, in turn
-    std::vector<std::int64_t> unread; ///< numbers of ends that were forgotten, but never listed
-    std::set<std::pair<std::int64_t, std::int64_t>> listed; ///< ends: born and number
-    std::function<OrderAnswer(std::size_t call)> onHold; ///< before the hold is carried out
+    std::vector<std::int64_t> acknowledged; ///< by each hold, in order
+    std::vector<std::int64_t> unread; ///< numbers of ends that were dropped without being listed
+    std::set<std::pair<std::int64_t, std::int64_t>> listed; ///< listed ends: born and number
+    std::function<OrderAnswer(std::size_t call)> onHold; ///< called before each hold takes effect
 
-    HoldAnswer carryOut(const HoldRequest &request)
+    HoldAnswer execute(const HoldRequest &request)
     {
         std::erase_if(this->ends, [&](const scheduling::ListedEnd &end) {
-            const bool forgets = end.number <= request.acknowledged;
-            if (forgets && this->listed.count({this->born, end.number}) == 0)
+            const bool isAcknowledged = end.number <= request.acknowledged;
+            if (isAcknowledged && this->listed.count({this->born, end.number}) == 0)
                 this->unread.push_back(end.number);
-            return forgets;
+            return isAcknowledged;
         });
         HoldAnswer answer;
         answer.answer = OrderAnswer::Accepted;
@@ -59,7 +60,7 @@
     }
 };
 
-/// The session's client of it.
+/// The session's client of a scripted worker.
 struct ScriptedCalls
 {
     ScriptedWorker *worker;
@@ -69,12 +70,12 @@
         this->worker->acknowledged.push_back(request.acknowledged);
         co_await pause(std::chrono::milliseconds(1));
         const auto answer = this->worker->onHold(this->worker->acknowledged.size());
-        auto carriedOut = HoldAnswer{};
+        auto result = HoldAnswer{};
         if (answer == OrderAnswer::Accepted)
-            carriedOut = this->worker->carryOut(request);
+            result = this->worker->execute(request);
         else
-            carriedOut.answer = answer;
-        co_return carriedOut;
+            result.answer = answer;
+        co_return result;
     }
 
     Awaitable<OrderAnswer> start(const scheduling::StartOrder &, std::int64_t, std::int64_t)
@@ -93,10 +94,10 @@
     }
 };
 
-/// Runs a session until it has made so many holds.
-struct Talk
+/// Runs a session with a scripted worker.
+struct SessionFixture
 {
-    explicit Talk(ScriptedWorker &worker)
+    explicit SessionFixture(ScriptedWorker &worker)
         : scheduler(scheduling::SchedulerTimes{}, 0, bootNow() - takeover)
     {
         scheduling::WorkerListing listing;
@@ -123,7 +124,7 @@
         this->context.run_for(std::chrono::milliseconds(150));
     }
 
-    // So long ago that ends of jobs that are not known need not wait for them.
+    // So long ago that ends of unknown jobs are acknowledged without waiting for these jobs.
     static constexpr Duration takeover = std::chrono::seconds(60);
 
     http::asio::io_context context;
@@ -133,14 +134,14 @@
 
 } // namespace
 
-// Guards against tasks that run again after they were done: the worker restarted under its id, and
-// the ends of its new incarnation were acknowledged by the numbers of the one before.
-TEST_CASE("A restarted worker gets no acknowledgement of ends that nobody has read")
+// Guards against tasks that run again after they were done: the worker restarted and kept its id,
+// and ends of the new incarnation were acknowledged with a number of the previous one.
+TEST_CASE("Ends of a restarted worker are not acknowledged before they are read")
 {
     struct Case
     {
         const char *name;
-        std::size_t restartsAt; ///< the hold that finds it restarted
+        std::size_t restartsAt; ///< number of the hold before which the worker restarts
         OrderAnswer answer; ///< of that hold
     };
     // The first hold lists three ends, the second acknowledges them.
@@ -164,8 +165,8 @@
         worker.endRun(2);
         return row.answer;
     };
-    Talk talk(worker);
-    talk.run(worker, row.restartsAt + 4);
+    SessionFixture fixture(worker);
+    fixture.run(worker, row.restartsAt + 4);
     CHECK(worker.unread.empty());
     CHECK(worker.ends.empty());
 }
@@ -181,9 +182,9 @@
             worker.endRun(2);
         return call == lost ? OrderAnswer::NoAnswer : OrderAnswer::Accepted;
     };
-    Talk talk(worker);
-    talk.run(worker, 9);
+    SessionFixture fixture(worker);
+    fixture.run(worker, 9);
     CHECK(worker.ends.empty());
     CHECK(worker.unread.empty());
-    CHECK(talk.scheduler.findWorker(workerId)->endsRecorded == 2);
+    CHECK(fixture.scheduler.findWorker(workerId)->endsRecorded == 2);
 }
