--- a/packages/coordination/include/sassafrasferry/coordination/call_numbers.h
+++ b/packages/coordination/include/sassafrasferry/coordination/call_numbers.h
@@ -1,4 +1,4 @@
-// Numbers by which answers of other entry VMs are matched with what was asked.
+// Generates the numbers by which answers of other entry VMs are matched with requests.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,9 @@
 
 namespace sassafrasferry::coordination {
 
-/// Rises by one. Each process begins at a random number: an entry VM may yet answer what an earlier
-/// process at this address has asked, and that answer must not be taken for another one's.
+/// Consecutive numbers that begin at a random one in each process. An entry VM may still answer a
+/// request of an earlier process at this address, and that answer must not match a request of this
+/// process.
 class CallNumbers
 {
 public:
@@ -17,13 +18,13 @@
     }
 
 private:
-    static std::uint64_t anyNumber()
+    static std::uint64_t randomStart()
     {
         std::random_device random;
         return std::uint64_t(random()) << 32 | random();
     }
 
-    std::uint64_t last = anyNumber();
+    std::uint64_t last = randomStart();
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/call_relay.h
+++ b/packages/coordination/include/sassafrasferry/coordination/call_relay.h
@@ -1,7 +1,7 @@
-// Calls to workers through other entry VMs. A leader with hundreds of workers can't talk to each of
-// them by itself on a small entry VM; it hands its calls out, many to a message, and gets the
-// answers back the same way. What a call means does not change by that: it may be late, or have no
-// answer, and the fence and the end of the lease that it carries bound it wherever it is made.
+// Relays calls to workers through other entry VMs. A leader on a small entry VM can't call hundreds
+// of workers by itself, so it distributes its calls in batches among the other entry VMs and
+// receives the answers in batches. The semantics of a call stay the same: it may be late or remain
+// unanswered, and its fence and its end of the lease limit its effect whoever makes it.
 #pragma once
 
 #include <sassafrasferry/coordination/call_numbers.h>
@@ -26,7 +26,7 @@
 HoldAnswer holdAnswerFrom(const std::string &worker, const messages::WorkerCallAnswer &answer);
 messages::WorkerCallAnswer answerRecord(const HoldAnswer &answer);
 
-/// The leader's end: sends calls to relays and hands the answers back.
+/// The leader's side: sends calls to relays and returns the answers to the callers.
 class CallRelay
 {
 public:
@@ -34,14 +34,14 @@
 
     CallRelay(http::asio::any_io_executor executor, model::Endpoint self, Send send);
 
-    /// An entry VM has been heard; it serves as a relay for a while.
+    /// Notes a message of an entry VM, which makes it a relay until `relayTimeout` has passed.
     void heard(const model::Endpoint &peer);
-    /// Makes a call by the relay that falls to the worker. No answer in time counts as none: the
-    /// call may be made yet.
+    /// Makes a call through the relay assigned to the worker. After the timeout the result is
+    /// NoAnswer, although the call may still reach the worker.
     Awaitable<messages::WorkerCallAnswer> call(messages::WorkerCall call,
                                                std::chrono::milliseconds timeout);
     void take(const messages::WorkerCallAnswers &answers);
-    /// True if there are relays enough to be worth the detour.
+    /// True if there are enough relays to reduce the leader's load.
     bool isOpen() const;
 
 private:
@@ -61,15 +61,15 @@
     http::asio::any_io_executor executor;
     model::Endpoint self;
     Send send;
-    std::map<std::string, Instant> relays; // by address: when it was last heard
-    std::map<std::string, messages::WorkerCalls> batches; // by address of the relay
-    std::map<std::uint64_t, Pending> pending; // by number of the call
+    std::map<std::string, Instant> relays; // by address: time of the last message
+    std::map<std::string, messages::WorkerCalls> batches; // by address of the relay, not sent yet
+    std::map<std::uint64_t, Pending> pending; // by call number
     CallNumbers numbers;
-    bool flushing = false; // a flush is about to come
-    bool expiring = false; // calls without an answer are looked for
+    bool flushing = false; // a flush is scheduled
+    bool expiring = false; // the loop that expires unanswered calls is running
 };
 
-/// The relay's end: makes calls for a leader.
+/// The relay's side: makes calls to workers on behalf of a leader.
 template<WorkerCalls Worker>
 class CallAgent : public std::enable_shared_from_this<CallAgent<Worker>>
 {
@@ -96,9 +96,9 @@
     }
 
 private:
-    // Workers come and go; clients of those that are not called any more go first.
-    static constexpr std::size_t mostClients = 200;
-    static constexpr auto gather = std::chrono::milliseconds(2);
+    // Bounds the number of clients as workers come and go; the least recently used is dropped.
+    static constexpr std::size_t maxClients = 200;
+    static constexpr auto batchDelay = std::chrono::milliseconds(2);
 
     struct Client
     {
@@ -119,7 +119,7 @@
             client.worker = std::make_shared<Worker>(this->executor, call.worker(), *address);
         }
         auto worker = client.worker;
-        if (this->clients.size() > mostClients) {
+        if (this->clients.size() > maxClients) {
             const auto oldest = std::min_element(
                 this->clients.begin(), this->clients.end(),
                 [](const auto &a, const auto &b) { return a.second.usedAt < b.second.usedAt; });
@@ -184,7 +184,7 @@
 
     Awaitable<void> flush(model::Endpoint leader)
     {
-        co_await pause(gather);
+        co_await pause(batchDelay);
         messages::JobEnvelope envelope;
         envelope.mutable_call_answers()->Swap(&this->batches[model::toString(leader)]);
         this->batches.erase(model::toString(leader));
@@ -197,7 +197,8 @@
     std::map<std::string, messages::WorkerCallAnswers> batches; // by address of the leader
 };
 
-/// A worker that is called through relays once there are many, and directly else.
+/// A client of a worker that makes its calls through a relay if `relay` returns one, and directly
+/// otherwise.
 template<WorkerCalls Worker>
 class RelayedWorker
 {
@@ -212,11 +213,11 @@
 
     Awaitable<HoldAnswer> hold(HoldRequest request)
     {
-        auto *detour = this->relay();
-        if (!detour)
+        auto *callRelay = this->relay();
+        if (!callRelay)
             co_return co_await this->direct.hold(request);
         auto call = this->addressed(holdCall(request));
-        const auto answer = co_await detour->call(std::move(call), request.wait + callTimeout);
+        const auto answer = co_await callRelay->call(std::move(call), request.wait + callTimeout);
         co_return holdAnswerFrom(this->id, answer);
     }
 
@@ -246,7 +247,7 @@
     }
 
 private:
-    // The relay's own time-out of an order, and the way there and back.
+    // The relay's own timeout of an order plus the round trip to the relay.
     static constexpr std::chrono::milliseconds callTimeout{1100};
 
     messages::WorkerCall addressed(messages::WorkerCall call) const
@@ -265,7 +266,7 @@
     std::string id;
     std::string address;
     Worker direct;
-    std::function<CallRelay *()> relay; // nullptr: call directly
+    std::function<CallRelay *()> relay; // returns nullptr for direct calls
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/fenced_part.h
+++ b/packages/coordination/include/sassafrasferry/coordination/fenced_part.h
@@ -1,5 +1,6 @@
-// Writes of the leader to one part of the store. Each carries the part's chain row on: a write of
-// an earlier leader, or one of its own that is applied late, finds the chain moved and fails.
+// Fenced writes of the leader to one part of the store. Each write is conditional on the version of
+// the part's chain row and updates that row. A write of an earlier leader, or a late one of this
+// leader, therefore finds another version and fails.
 #pragma once
 
 #include <sassafrasferry/coordination/job_rows.h>
@@ -9,11 +10,11 @@
 
 namespace sassafrasferry::coordination {
 
-/// How a write ended.
+/// The result of a write.
 enum class WriteResult {
     Written,
-    Retry, ///< it may or may not be written; the same write again is safe
-    Deposed, ///< a newer leader has taken the part
+    Retry, ///< may or may not have been written; the same write can safely be repeated
+    Deposed, ///< a newer leader has opened the part
 };
 
 template<store::PartStore Store>
@@ -31,10 +32,10 @@
         return this->part;
     }
 
-    /// Takes the part: from here on no write of an earlier leader succeeds.
+    /// Claims the part for this leader. Afterwards no write of an earlier leader succeeds.
     Awaitable<WriteResult> open()
     {
-        const auto seen = co_await this->look();
+        const auto seen = co_await this->readChain();
         if (seen != WriteResult::Written)
             co_return seen;
         const std::vector<store::PartPut> noPuts;
@@ -46,7 +47,7 @@
                                  std::vector<store::PartDelete> deletes)
     {
         if (this->isUncertain) {
-            const auto seen = co_await this->look();
+            const auto seen = co_await this->readChain();
             if (seen != WriteResult::Written)
                 co_return seen;
         }
@@ -63,8 +64,8 @@
     }
 
 private:
-    // Learns the chain's version.
-    Awaitable<WriteResult> look()
+    // Reads the version of the chain row. Returns Written on success.
+    Awaitable<WriteResult> readChain()
     {
         const store::PartRange range{table::chain, this->part, "", ""};
         const auto page = co_await this->store.scan(range);
@@ -84,8 +85,8 @@
     Store &store;
     std::string part;
     std::int64_t fence;
-    std::int64_t version = store::absent; // of the chain row
-    bool isUncertain = false; // a write had no answer
+    std::int64_t version = store::absent; // version of the chain row
+    bool isUncertain = false; // the result of the last write is unknown
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/spawn.h
+++ b/packages/coordination/include/sassafrasferry/coordination/spawn.h
@@ -1,4 +1,4 @@
-// Starts coroutines that nobody waits for, so that none ends by an error unseen.
+// Starts detached coroutines and reports their exceptions.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -12,7 +12,7 @@
 
 namespace sassafrasferry::coordination {
 
-/// Takes the message of the exception that ended a coroutine.
+/// Receives the message of the exception that ended a coroutine.
 using OnFailure = std::function<void(const std::string &error)>;
 
 /// The message of an exception.
@@ -27,10 +27,11 @@
     }
 }
 
-/// Starts a coroutine whose exception is logged and told to `onFailure`.
+/// Starts a detached coroutine. An exception is logged and passed to `onFailure`.
 ///
-/// Asio drops the exception of a detached coroutine. A leader whose planning had ended that way
-/// would renew its lease for good and serve nobody; told of it, the owner steps down to another.
+/// Asio drops the exception of a detached coroutine. A leader whose planning loop ended that way
+/// would renew its lease forever without serving anyone. With `onFailure` its owner can step down
+/// in favour of another entry VM.
 template<typename Body>
 void spawn(const http::asio::any_io_executor &executor, std::string_view name, Body body,
            OnFailure onFailure = {})
@@ -47,7 +48,8 @@
         });
 }
 
-/// Runs a loop that is begun anew after each exception: for those that nobody could replace.
+/// Runs a loop and restarts it after each exception. For loops that no other process could take
+/// over.
 template<typename Body>
 Awaitable<void> restarted(std::string name, Body body)
 {
--- a/packages/coordination/include/sassafrasferry/coordination/successor.h
+++ b/packages/coordination/include/sassafrasferry/coordination/successor.h
@@ -1,4 +1,4 @@
-// Which entry VM should lead in place of a weak one.
+// Selects an entry VM with more processor cores to lead in place of a weak one.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -9,17 +9,19 @@
 
 namespace sassafrasferry::coordination {
 
-/// Keeps how much processor those have that ask this leader. A leader without the processor for all
-/// workers falls seconds behind: jobs wait, and tasks of cancelled ones are still started.
+/// Records the processor cores of the entry VMs that send questions to this leader. A leader with
+/// too few cores for all workers falls seconds behind: jobs wait, and tasks of cancelled jobs are
+/// still started.
 class SuccessorChoice
 {
 public:
-    /// `own`: the processor of this entry VM, in cores.
-    explicit SuccessorChoice(double own)
-        : own(own)
+    /// `ownCores`: processor cores of this entry VM.
+    explicit SuccessorChoice(double ownCores)
+        : ownCores(ownCores)
     {}
 
-    /// An entry VM has asked. Its questions on behalf of callers say nothing of who could lead.
+    /// Notes a question of an entry VM. Questions on behalf of callers are ignored, since they
+    /// don't carry the number of cores.
     void heard(const messages::JobQuestion &question, Instant now)
     {
         const bool isHello =
@@ -28,42 +30,44 @@
             this->peers[question.address()] = {question.cores(), now};
     }
 
-    /// Where the strongest is that was heard lately, if it is worth a change; else empty.
+    /// Address of the strongest live entry VM if it has enough more cores than this one to justify
+    /// a change of leader; empty otherwise.
     std::string better(Instant now) const
     {
         const auto best = this->strongest(now);
-        const bool isWorthIt =
-            !best.empty() && this->peers.at(best).cores >= this->own * worthwhile;
-        return isWorthIt ? best : "";
+        const bool isWorthChange =
+            !best.empty() && this->peers.at(best).cores >= this->ownCores * minCoresRatio;
+        return isWorthChange ? best : "";
     }
 
-    /// The strongest that was heard lately and could lead; empty if there is none.
+    /// Address of the strongest live entry VM that could lead; empty if there is none.
     std::string strongest(Instant now) const
     {
         std::string best;
-        double most = 0;
+        double mostCores = 0;
         for (const auto &entry : this->peers) {
             const auto &peer = entry.second;
-            if (now - peer.heardAt > lately || peer.cores <= most)
+            if (now - peer.helloAt > peerTimeout || peer.cores <= mostCores)
                 continue;
             best = entry.first;
-            most = peer.cores;
+            mostCores = peer.cores;
         }
         return best;
     }
 
 private:
-    // A change costs a survey of all workers.
-    static constexpr double worthwhile = 2.0;
-    static constexpr Duration lately = std::chrono::milliseconds(800); // some three questions
+    // The least ratio of cores for a change of leader, which costs a survey of all workers.
+    static constexpr double minCoresRatio = 2.0;
+    // An entry VM that was silent for longer counts as gone: about three of its hello questions.
+    static constexpr Duration peerTimeout = std::chrono::milliseconds(800);
 
     struct Peer
     {
         double cores = 0;
-        Instant heardAt{};
+        Instant helloAt{};
     };
 
-    double own;
+    double ownCores;
     std::map<std::string, Peer> peers; // by address
 };
 
--- a/packages/coordination/include/sassafrasferry/coordination/timing.h
+++ b/packages/coordination/include/sassafrasferry/coordination/timing.h
@@ -1,4 +1,4 @@
-// Clocks and pauses of what does the I/O.
+// The clock and timers of the coroutines that do I/O.
 #pragma once
 
 #include <sassafrasferry/http/types.h>
@@ -18,8 +18,8 @@
 using policy::Duration;
 using policy::Instant;
 
-/// The time since the machine started, with the time during which it was suspended. The steady
-/// clock leaves that out, so that a leader that was frozen past its lease would not notice.
+/// The time since the machine started, including the time during which it was suspended. The steady
+/// clock excludes suspension, so a leader suspended beyond its lease would not notice it.
 inline Instant bootNow()
 {
     timespec now{};
@@ -27,7 +27,7 @@
     return Instant(std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec));
 }
 
-/// Suspends the coroutine for a while.
+/// Suspends the coroutine for the duration.
 inline Awaitable<void> pause(Duration duration)
 {
     co_await http::asio::async_initiate<const http::asio::use_awaitable_t<>, void()>(
@@ -42,7 +42,7 @@
         http::asio::use_awaitable);
 }
 
-/// Wakes one waiting coroutine before its time.
+/// A timer on which one coroutine waits and which `notify` ends early.
 class Wake
 {
 public:
@@ -50,7 +50,7 @@
         : timer(executor)
     {}
 
-    /// Returns after the duration, or soon after `notify`; at once if that came before.
+    /// Returns after the duration or a call of `notify`; at once if `notify` was called before.
     Awaitable<void> wait(Duration duration)
     {
         if (!this->notified) {
--- a/packages/coordination/src/call_relay.cpp
+++ b/packages/coordination/src/call_relay.cpp
@@ -1,4 +1,4 @@
-// Calls and answers as messages, and the leader's end of the relays.
+// Conversion of calls and answers to messages, and the leader's side of the relays.
 #include <sassafrasferry/coordination/call_relay.h>
 
 #include <sassafrasferry/http/await_callback.h>
@@ -12,11 +12,12 @@
 
 namespace {
 
-// Entry VMs say hello several times a second; one that is silent for this long is no relay.
-constexpr auto relayMemory = std::chrono::milliseconds(900);
-// With fewer, the leader's share of the calls would hardly shrink.
-constexpr std::size_t fewestRelays = 3;
-constexpr auto gather = std::chrono::milliseconds(2);
+// Entry VMs send messages several times a second. One that was silent for this long is no longer
+// used as a relay.
+constexpr auto relayTimeout = std::chrono::milliseconds(900);
+// With fewer relays the leader's load would hardly decrease.
+constexpr std::size_t minRelays = 3;
+constexpr auto batchDelay = std::chrono::milliseconds(2);
 constexpr auto expiryTick = std::chrono::milliseconds(100);
 
 messages::WorkerCall orderCall(messages::WorkerCall::Kind kind, const jobs::TaskId &task,
@@ -132,18 +133,18 @@
     const auto now = bootNow();
     const auto live =
         std::count_if(this->relays.begin(), this->relays.end(),
-                      [&](const auto &relay) { return now - relay.second < relayMemory; });
-    return static_cast<std::size_t>(live) >= fewestRelays;
+                      [&](const auto &relay) { return now - relay.second < relayTimeout; });
+    return static_cast<std::size_t>(live) >= minRelays;
 }
 
-// By rendezvous: a relay that comes or goes changes the relays of few workers.
+// Rendezvous hashing: a relay that joins or leaves changes the assignment of few workers only.
 const std::string *CallRelay::relayFor(const std::string &worker) const
 {
     const auto now = bootNow();
     const std::string *best = nullptr;
     std::uint64_t bestWeight = 0;
     for (const auto &relay : this->relays) {
-        if (now - relay.second >= relayMemory)
+        if (now - relay.second >= relayTimeout)
             continue;
         const auto weight = weightOf(relay.first, worker);
         if (!best || weight > bestWeight) {
@@ -180,12 +181,12 @@
 
 Awaitable<void> CallRelay::flushSoon()
 {
-    co_await pause(gather);
+    co_await pause(batchDelay);
     this->flushing = false;
     this->flush();
 }
 
-// Runs while calls are open.
+// Runs while calls are pending.
 Awaitable<void> CallRelay::expireLoop()
 {
     while (!this->pending.empty()) {
--- a/packages/coordination/src/call_relay_test.cpp
+++ b/packages/coordination/src/call_relay_test.cpp
@@ -1,4 +1,4 @@
-// Answers that relays send to the leader's end.
+// Tests how the leader's side of a relay handles answers.
 #include <sassafrasferry/coordination/call_relay.h>
 
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The leader's end of one process at an address, and the calls that it has sent.
+/// The leader's side of a relay in one process, and the calls that it has sent.
 struct Process
 {
     explicit Process(http::asio::io_context &context)
@@ -30,14 +30,14 @@
         spawn(context.get_executor(), "call", [this]() -> Awaitable<void> {
             auto record = holdCall(HoldRequest{});
             record.set_worker("w");
-            const auto answer = co_await this->relay.call(std::move(record), patience);
+            const auto answer = co_await this->relay.call(std::move(record), callTimeout);
             this->answers.push_back(static_cast<scheduling::OrderAnswer>(answer.answer()));
         });
         context.restart();
         context.run_for(std::chrono::milliseconds(20));
     }
 
-    static constexpr std::chrono::milliseconds patience{1000};
+    static constexpr std::chrono::milliseconds callTimeout{1000};
 
     CallRelay relay;
     std::vector<messages::WorkerCalls> sent;
@@ -57,9 +57,9 @@
 
 } // namespace
 
-// Guards against the report of one worker taken for another's: a relay answered a call of the
-// process before at this address, and numbers of calls began anew with each process.
-TEST_CASE("An answer to a call of an earlier process answers no call of this one")
+// Guards against taking one worker's report for another's: a relay answers a call of the previous
+// process at this address, whose call numbers would be the same if each process began at 1.
+TEST_CASE("An answer to a call of an earlier process is ignored")
 {
     http::asio::io_context context;
     Process former(context);
@@ -78,8 +78,8 @@
     CHECK(present.answers.size() == 1);
 }
 
-// Guards against the same for questions about jobs, whose answers are matched by the same numbers.
-TEST_CASE("Numbers of two processes at one address do not meet")
+// Guards against the same fault in questions about jobs, which use the same kind of numbers.
+TEST_CASE("Call numbers of two processes at one address are distinct")
 {
     constexpr int calls = 1000;
     CallNumbers former;
--- a/packages/coordination/src/spawn_test.cpp
+++ b/packages/coordination/src/spawn_test.cpp
@@ -17,20 +17,20 @@
 
 } // namespace
 
-TEST_CASE("The error that ends a coroutine is told to its owner")
+TEST_CASE("An exception that ends a coroutine is passed to its failure handler")
 {
     sassafrasferry::http::asio::io_context context;
     int runs = 0;
-    std::string told;
+    std::string reported;
     spawn(
         context.get_executor(), "part", [&] { return failOnce(runs); },
-        [&](const std::string &error) { told = error; });
+        [&](const std::string &error) { reported = error; });
     context.run();
     CHECK(runs == 1);
-    CHECK(told == "no number");
+    CHECK(reported == "no number");
 }
 
-TEST_CASE("A loop that an error ended runs again")
+TEST_CASE("A loop is restarted after an exception")
 {
     sassafrasferry::http::asio::io_context context;
     int runs = 0;
--- a/packages/coordination/src/successor_test.cpp
+++ b/packages/coordination/src/successor_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct Heard
+struct Hello
 {
     std::string address;
     double cores;
@@ -18,8 +18,8 @@
 {
     std::string name;
     double own;
-    std::vector<Heard> heard;
-    std::string better;
+    std::vector<Hello> hellos;
+    std::string successor;
 };
 
 const std::vector<Case> cases{
@@ -32,34 +32,35 @@
     {"the silent one does not hide another", 0.12, {{"a", 0.5, 1000}, {"b", 0.25, 100}}, "b"},
 };
 
-sassafrasferry::messages::JobQuestion helloOf(const Heard &heard)
+sassafrasferry::messages::JobQuestion questionOf(const Hello &hello)
 {
     sassafrasferry::messages::JobQuestion question;
-    question.set_address(heard.address);
-    question.set_cores(heard.cores);
+    question.set_address(hello.address);
+    question.set_cores(hello.cores);
     return question;
 }
 
 } // namespace
 
-TEST_CASE("A weak leader names a stronger entry VM")
+TEST_CASE("A weak leader chooses the strongest live entry VM as its successor")
 {
     const auto row = GENERATE(from_range(cases));
     CAPTURE(row.name);
     const auto now = Instant(std::chrono::seconds(100));
     SuccessorChoice choice(row.own);
-    for (const auto &heard : row.heard)
-        choice.heard(helloOf(heard), now - milliseconds(heard.ago));
-    CHECK(choice.better(now) == row.better);
+    for (const auto &hello : row.hellos)
+        choice.heard(questionOf(hello), now - milliseconds(hello.ago));
+    CHECK(choice.better(now) == row.successor);
 }
 
-// A weak leader under load: entry VMs ask it for their callers all the time, so its latest question
-// is hardly ever a hello. Were each taken for one, no one would seem able to lead.
-TEST_CASE("Questions for callers do not hide who could lead")
+// Guards against a weak leader under load that finds no successor. Entry VMs constantly ask it on
+// behalf of callers, so the latest question of each is rarely a hello. Other questions don't carry
+// the number of cores and must not replace it.
+TEST_CASE("Questions on behalf of callers do not hide a possible successor")
 {
     const auto now = Instant(std::chrono::seconds(100));
     SuccessorChoice choice(0.12);
-    choice.heard(helloOf({"a", 0.5, 0}), now);
+    choice.heard(questionOf({"a", 0.5, 0}), now);
     sassafrasferry::messages::JobQuestion question;
     question.set_address("a");
     SECTION("about a job")
