--- a/packages/scheduling/include/sassafrasferry/scheduling/cordon.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/cordon.h
@@ -1,4 +1,4 @@
-// Which VMs get no new work, so that they become empty and can leave their pool.
+// Chooses VMs that receive no new work, so that they become empty and can leave their pool.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,27 @@
 
 namespace sassafrasferry::scheduling {
 
-/// A VM that may leave its pool once nothing runs on it.
+/// A VM that can leave its pool once nothing runs on it.
 struct CordonCandidate
 {
     std::string vm;
     std::int64_t usedCpu = 0; ///< thousandths of a core
-    bool cordoned = false; ///< since the last choice
+    bool cordoned = false; ///< cordoned by the previous choice
 };
 
-/// What a pool can do without.
+/// VMs that a pool can give up.
 struct CordonPool
 {
-    std::size_t surplus = 0; ///< VMs above what it wants
+    std::size_t surplus = 0; ///< VMs above what the pool needs for all of its work
     std::size_t lateSurplus = 0; ///< VMs above what its on-time work needs; at least `surplus`
     std::vector<CordonCandidate> candidates;
 };
 
-/// Work that ends on many VMs at random leaves each of them a little used for long. So the VMs that
-/// a pool has too many of are chosen beforehand, and its new work goes to the others. While other
-/// pools lack VMs for work that can be on time (`missing`), pools give up those that serve late
-/// work as well. VMs with the least on them go first, and a choice is kept.
+/// Chooses the VMs to cordon. When tasks end at random on many VMs, each VM stays slightly used for
+/// a long time. The surplus VMs of a pool are therefore chosen in advance, and new work goes to the
+/// other VMs. While other pools lack `missing` VMs for work that can still be on time, pools also
+/// give up VMs that serve late work. VMs that are already cordoned are preferred, then the least
+/// used ones.
 std::set<std::string> chooseCordons(std::vector<CordonPool> pools, std::size_t missing);
 
 } // namespace sassafrasferry::scheduling
--- a/packages/scheduling/include/sassafrasferry/scheduling/estimate_model.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/estimate_model.h
@@ -1,33 +1,33 @@
-// Learns how far the estimates that come with work are from what the work takes.
+// Learns how far declared run time estimates are from observed run times.
 #pragma once
 
 #include <sassafrasferry/jobs/job_spec.h>
 
 namespace sassafrasferry::scheduling {
 
-/// A linear regression of the logarithm of observed times on that of estimates, with decay. Few
-/// observations change the estimates little, and estimates that tell nothing about the observed
-/// times end up at their average.
+/// Linear regression of the logarithm of observed times on the logarithm of estimates, in which old
+/// observations decay. With few observations the predictions stay close to the estimates. Estimates
+/// that do not correlate with the observed times are replaced by the average observed time.
 class EstimateModel
 {
 public:
     void observe(jobs::Milliseconds estimate, jobs::Milliseconds actual);
 
-    /// What half of such work takes at most. Zero for no estimate.
+    /// Median run time of work with this estimate. Zero if there is no estimate.
     jobs::Milliseconds median(jobs::Milliseconds estimate) const;
-    /// What such work takes on average.
+    /// Mean run time of work with this estimate. Zero if there is no estimate.
     jobs::Milliseconds mean(jobs::Milliseconds estimate) const;
 
 private:
     struct Line
     {
-        double offset = 0; ///< of the logarithm, at the mean estimate
-        double slope = 0; ///< of the deviation, over the logarithm of the estimate
-        double variance = 0; ///< of what is left
+        double offset = 0; ///< mean of log(actual) - log(estimate), at the mean estimate
+        double slope = 0; ///< of log(actual) - log(estimate) over log(estimate)
+        double variance = 0; ///< of the residuals
     };
 
     Line fit() const;
-    double logOf(const Line &line, double logEstimate) const;
+    double predictLog(const Line &line, double logEstimate) const;
 
     // Sums over x = log(estimate) and r = log(actual) - log(estimate).
     double count = 0;
--- a/packages/scheduling/include/sassafrasferry/scheduling/fleet_planner.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/fleet_planner.h
@@ -1,5 +1,6 @@
-// Moves of VMs between pools, and maintenance waves. Pure: the time is handed in, orders are taken
-// out, and the scheduler is asked to empty workers.
+// Plans moves of VMs between pools and maintenance waves. Does no I/O and reads no clock: the
+// caller passes the time in and sends the returned orders. Workers are emptied through the
+// scheduler.
 #pragma once
 
 #include <sassafrasferry/scheduling/pool_sizing.h>
@@ -9,7 +10,7 @@
 
 namespace sassafrasferry::scheduling {
 
-/// Where the platform says that a VM stands.
+/// State of a VM as reported by the platform.
 enum class VmState {
     Up,
     Moving,
@@ -17,7 +18,7 @@
     Down,
 };
 
-/// A VM as the platform lists it.
+/// A VM as listed by the platform.
 struct Vm
 {
     std::string name;
@@ -26,26 +27,26 @@
     std::string kind;
     std::string rack;
     Resources capacity;
-    std::string worker; ///< the id of its present incarnation; empty: none
+    std::string worker; ///< id of the VM's current worker incarnation; empty: none
 };
 
-/// A maintenance wave as operators order it.
+/// A maintenance wave as ordered by an operator.
 struct Wave
 {
     std::int64_t number = 0;
     std::vector<std::string> vms;
-    Duration within{0}; ///< all are to be maintained in this time
-    std::size_t atOnce = 1; ///< under maintenance at the most
+    Duration within{0}; ///< time limit for the maintenance of all VMs of the wave
+    std::size_t atOnce = 1; ///< maximum number of VMs under maintenance at the same time
 };
 
-/// How far a wave has come.
+/// Progress of a wave.
 struct WaveProgress
 {
     Wave wave;
-    Instant seenAt{};
-    std::set<std::string> done; ///< whose maintenance has begun
+    Instant seenAt{}; ///< when this process learned of the wave
+    std::set<std::string> done; ///< VMs whose maintenance has begun, or that can't be maintained
     bool completed = false;
-    std::uint64_t changes = 0; ///< of `done` and `completed`
+    std::uint64_t changes = 0; ///< number of changes to `done` and `completed`
 };
 
 enum class FleetAction {
@@ -53,23 +54,23 @@
     Maintain,
 };
 
-/// A call to the platform. All that still runs on the VM ends with it.
+/// A call to the platform about a VM. Executing it ends everything that runs on the VM.
 struct FleetOrder
 {
     FleetAction action = FleetAction::Move;
     std::string vm;
-    std::string pool; ///< to move to
-    std::int64_t wave = 0; ///< to maintain for
+    std::string pool; ///< target pool of a move
+    std::int64_t wave = 0; ///< wave that a maintenance order belongs to
 };
 
-/// How such a call ended.
+/// Outcome of a call to the platform.
 enum class FleetAnswer {
-    Accepted, ///< done, or done before
+    Accepted, ///< the order was executed, now or by an earlier call
     Busy, ///< the VM is not up
     NotInWave,
-    Impossible, ///< no such VM, or not a pool for it
-    Refused, ///< nothing was done; later
-    NoAnswer, ///< it may have been done
+    Impossible, ///< no such VM, or its kind is not allowed in the pool
+    Refused, ///< the order was not executed and can be retried
+    NoAnswer, ///< the order may have been executed or may yet be
 };
 
 constexpr auto enumNames(FleetAnswer)
@@ -84,35 +85,42 @@
     };
 }
 
-/// Times and weights of the planner.
+/// Time limits and weights of the planner.
 struct FleetTerms
 {
-    PoolSizingTerms sizing;
-    std::size_t mostOrders = 12; ///< a round; the platform bounds calls a second
-    Duration retry = std::chrono::milliseconds(400); ///< of a VM whose order was not accepted
-    Duration evacuationPatience = std::chrono::milliseconds(2500); ///< for tasks without checkpoint
-    double waveShare = 0.75; ///< of its time, in which a wave should be through
-    Duration maintenanceTime = std::chrono::milliseconds(6000); ///< emptying, maintenance, return
-    double mostOfPool = 0.34; ///< of a pool's workers emptied for waves at a time
+    PoolSizingOptions sizing;
+    /// Per planning round, since the platform limits calls per second.
+    std::size_t maxOrdersPerRound = 12;
+    /// Until the next order to a VM whose last order was not accepted.
+    Duration retryDelay = std::chrono::milliseconds(400);
+    /// Time that tasks without checkpoints get to finish before an evacuation stops them.
+    Duration evacuationGracePeriod = std::chrono::milliseconds(2500);
+    double waveTimeFraction = 0.75; ///< fraction of its time limit in which a wave should complete
+    /// Expected time per VM to evacuate it, maintain it and return it to service.
+    Duration maintenanceTime = std::chrono::milliseconds(6000);
+    /// Largest fraction of a pool's workers that are evacuated for a wave at the same time.
+    double maxEvacuatingPoolFraction = 0.34;
 };
 
 class FleetPlanner
 {
 public:
-    explicit FleetPlanner(FleetTerms terms);
+    explicit FleetPlanner(FleetTerms options);
 
-    /// The platform's list, as asked for at `askedAt`.
+    /// Applies the platform's list of VMs, which was requested at `askedAt`.
     void listVms(const std::vector<Vm> &vms, Instant askedAt);
     void addWave(const Wave &wave, std::set<std::string> done, Instant now);
-    /// No order about a VM before then.
+    /// Issues no order about the VM before `until`.
     void defer(const std::string &vm, Instant until);
     std::vector<FleetOrder> plan(Scheduler &scheduler, Instant now, UnixMilliseconds unixNow);
-    /// Nothing has become known since the order was planned that would be lost by it.
+    /// True if the order can be sent now: the VM still holds nothing that would be lost with it, or
+    /// an earlier call of the order is unanswered, so that the platform may execute it in any case.
     bool mayGive(const FleetOrder &order, const Scheduler &scheduler, Instant now) const;
     void answered(const FleetOrder &order, FleetAnswer answer, Scheduler &scheduler, Instant now);
 
     const std::map<std::int64_t, WaveProgress> &waves() const;
-    /// True while something changes that the platform's list tells.
+    /// True while a VM is not up or an order is in progress, so that the platform's list will
+    /// change.
     bool isBusy() const;
     std::vector<DecisionNote> takeNotes();
 
@@ -120,49 +128,52 @@
     struct Entry
     {
         Vm vm;
-        Instant changedAt{}; ///< when an order changed what the list says
-        Instant waitUntil{}; ///< no order before this
-        bool ordered = false; ///< a call is under way
-        /// The incarnation that the order under way ends, whenever it is carried out.
-        std::string endingWorker;
-        /// A call that had no answer, and so may be carried out yet: given again until it has one.
-        std::optional<FleetOrder> unanswered;
+        Instant vmChangedAt{}; ///< when an accepted order last changed `vm`
+        Instant noOrderBefore{}; ///< no order is issued before this time
+        bool hasOrderInProgress = false; ///< a call about the VM is in progress
+        /// Worker incarnation that the current order ends, whenever the platform executes it.
+        std::string workerToEnd;
+        /// Order whose call got no answer, so that the platform may still execute it. It is sent
+        /// again until it is answered.
+        std::optional<FleetOrder> unansweredOrder;
         bool listed = true;
-        std::int64_t leavingFor = 0; ///< the wave for which its worker is emptied; 0: none
-        Instant leavingSince{};
+        std::int64_t evacuatingForWave = 0; ///< wave that the worker is evacuated for; 0: none
+        Instant evacuatingSince{};
     };
 
-    /// What a pool has and wants.
+    /// Supply of VMs in a pool and the need for them.
     struct Pool
     {
-        std::vector<Entry *> up;
-        std::size_t count = 0; ///< with those that are on their way here
+        std::vector<Entry *> upVms;
+        std::size_t count = 0; ///< VMs of the pool, including those that are moving to it
         PoolNeed need;
         bool standby = false;
     };
 
     struct Round;
 
-    void repeatUnanswered(Round &round);
-    void measure(Round &round);
-    void moveToNeed(Round &round);
-    void moveTo(std::size_t PoolNeed::*wanted, std::size_t PoolNeed::*kept, Round &round);
-    void moveToStandby(Round &round);
+    void repeatUnansweredOrders(Round &round);
+    void computeNeeds(Round &round);
+    void moveVmsByNeed(Round &round);
+    void coverShortages(std::size_t PoolNeed::*desired, std::size_t PoolNeed::*minimum,
+                        Round &round);
+    void moveSurplusToStandby(Round &round);
     void cordonVms(Round &round);
     void planWave(WaveProgress &progress, Round &round);
-    void finishWave(WaveProgress &progress);
-    std::size_t underMaintenance(const WaveProgress &progress) const;
-    bool isFree(const Entry &entry, const Round &round) const;
+    void completeWave(WaveProgress &progress);
+    std::size_t countUnderMaintenance(const WaveProgress &progress) const;
+    bool canReceiveOrder(const Entry &entry, const Round &round) const;
     bool isEmpty(const Entry &entry, const Round &round) const;
-    bool mayMove(const Entry &entry, const Round &round) const;
-    void order(Entry &entry, FleetOrder order, Round &round);
-    Entry *spareFor(const std::string &pool, std::size_t PoolNeed::*kept, Round &round);
+    bool isMovable(const Entry &entry, const Round &round) const;
+    void issueOrder(Entry &entry, FleetOrder order, Round &round);
+    Entry *findSpareVm(const std::string &pool, std::size_t PoolNeed::*minimum, Round &round);
 
-    FleetTerms terms;
+    FleetTerms options;
     std::map<std::string, Entry> vms;
     std::map<std::int64_t, WaveProgress> waveTable;
     PoolSizing sizing;
-    std::set<std::string> impossible; // "kind pool" that the platform refused
+    // "kind pool" pairs that the platform reported as impossible.
+    std::set<std::string> impossibleMoves;
     std::vector<DecisionNote> notes;
 };
 
--- a/packages/scheduling/include/sassafrasferry/scheduling/mechanisms.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/mechanisms.h
@@ -1,5 +1,4 @@
-// Mechanisms of the decisions that settings can switch off, to find
-// what each one is worth.
+// Scheduling mechanisms that can be disabled in the settings, to measure the benefit of each.
 #pragma once
 
 #include <sassafrasferry/model/names.h>
@@ -9,19 +8,19 @@
 namespace sassafrasferry::scheduling {
 
 enum class Mechanism {
-    LateLast, ///< work that can't be on time any more comes behind all other work
-    LearnedTimes, ///< run times are learned, for the order of jobs
-    LearnedSizes, ///< run times are learned, for the sizes of pools
-    Moves, ///< VMs move to the pools that need them
+    LateLast, ///< work that can't be on time any more runs after all other work
+    LearnedTimes, ///< jobs are ordered by learned run times instead of their estimates
+    LearnedSizes, ///< pools are sized by learned run times instead of estimates
+    Moves, ///< VMs are moved to the pools that need them
     Standby, ///< VMs that no pool needs are moved to the standby pool
-    OnTimeMoves, ///< pools with on-time work are served before those with late work
-    PeakMemory, ///< a pool keeps its VMs for a moment after a peak
-    SpareVm, ///< a pool has one VM more than its lasting work needs
-    Cordon, ///< VMs that are to leave a pool get no new work
-    Reservation, ///< VMs are kept free for lasting tasks that found no room
-    BestFit, ///< tasks go to the fullest VM that has room
-    RackSpread, ///< lasting tasks are spread over racks
-    FailingBackOff, ///< a VM that fails most of its runs gets none for a while
+    OnTimeMoves, ///< VMs go to pools with on-time work before pools with late work
+    PeakMemory, ///< a pool keeps its VMs for a short time after a peak
+    SpareVm, ///< a pool has one VM more than its long-running tasks need
+    Cordon, ///< VMs that are to leave a pool receive no new work
+    Reservation, ///< VMs are kept free for long-running tasks that found no room
+    BestFit, ///< tasks go to the fullest VM that has room for them
+    RackSpread, ///< long-running tasks are spread over racks
+    FailingBackOff, ///< a VM on which most runs fail receives no runs for a while
 };
 
 constexpr auto enumNames(Mechanism)
@@ -43,7 +42,7 @@
     };
 }
 
-/// All mechanisms but those that were switched off.
+/// The enabled mechanisms: all except those that were switched off.
 class MechanismSet
 {
 public:
--- a/packages/scheduling/include/sassafrasferry/scheduling/pool_sizing.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/pool_sizing.h
@@ -1,4 +1,4 @@
-// How many VMs each pool needs, from the work its service has and the work that arrives.
+// Computes how many VMs each pool needs from the present and the arriving work of its service.
 #pragma once
 
 #include <sassafrasferry/scheduling/scheduler.h>
@@ -7,35 +7,38 @@
 
 namespace sassafrasferry::scheduling {
 
-/// Times and weights of the sizing.
-struct PoolSizingTerms
+/// Time constants and weights of the sizing.
+struct PoolSizingOptions
 {
-    Duration rateMemory = std::chrono::milliseconds(500); ///< over which arriving work is averaged
-    Duration peakMemory = std::chrono::milliseconds(1200); ///< how long a need is remembered
-    double headroom = 1.15; ///< room wanted for each core needed, since tasks do not fill a VM
-    double lateWeight = 0.3; ///< of work that can't be on time any more
+    /// Time constant of the average arrival rate.
+    Duration rateTimeConstant = std::chrono::milliseconds(500);
+    /// How long a peak of the need is held.
+    Duration peakRetention = std::chrono::milliseconds(1200);
+    double headroom = 1.15; ///< cores provided per core needed, since tasks do not fill a VM
+    double lateWeight = 0.3; ///< weight of waiting work that can't be on time any more
     MechanismSet mechanisms;
 };
 
-/// VMs of one pool. kept <= onTime <= wanted.
+/// Number of VMs that a pool needs. minimum <= onTime <= desired.
 struct PoolNeed
 {
-    std::size_t wanted = 0; ///< for all its work, at the peak of the last moments
-    std::size_t onTime = 0; ///< for its present work, without what waits and is late anyhow
-    std::size_t kept = 0; ///< for what can be on time alone: more may be given to other pools
+    std::size_t desired = 0; ///< for all of its work, at the recent peak
+    std::size_t onTime = 0; ///< for its present work, without waiting work that is already late
+    /// For work that can still be on time; other pools may take VMs above it.
+    std::size_t minimum = 0;
 };
 
 class PoolSizing
 {
 public:
-    explicit PoolSizing(PoolSizingTerms terms);
+    explicit PoolSizing(PoolSizingOptions options);
 
-    /// Core-seconds of the jobs that came to each service since the last call.
-    void arrived(const std::map<std::string, double> &coreSeconds, Instant now);
+    /// Adds the work that arrived since the last call, in core-seconds by service.
+    void recordArrivals(const std::map<std::string, double> &coreSeconds, Instant now);
 
-    /// `count`: VMs that the pool has or gets; `vmCores`: of the largest of them.
-    PoolNeed needOf(const std::string &service, const ServiceLoad &load, double vmCores,
-                    std::size_t count, Instant now);
+    /// `count`: VMs in the pool or moving to it; `vmCores`: cores of the largest of them.
+    PoolNeed computeNeed(const std::string &service, const ServiceLoad &load, double vmCores,
+                         std::size_t count, Instant now);
 
 private:
     struct Peak
@@ -44,8 +47,8 @@
         Instant at{};
     };
 
-    PoolSizingTerms terms;
-    std::map<std::string, double> rates; // core-seconds a second
+    PoolSizingOptions options;
+    std::map<std::string, double> rates; // average core-seconds that arrive per second, by service
     std::map<std::string, Peak> peaks;
     Instant ratesAt{};
 };
--- a/packages/scheduling/src/cordon.cpp
+++ b/packages/scheduling/src/cordon.cpp
@@ -1,4 +1,4 @@
-// Which VMs get no new work, so that they become empty and can leave their pool.
+// Chooses VMs that receive no new work, so that they become empty and can leave their pool.
 #include <sassafrasferry/scheduling/cordon.h>
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 
 namespace {
 
-bool comesFirst(const CordonCandidate &a, const CordonCandidate &b)
+bool isPreferred(const CordonCandidate &a, const CordonCandidate &b)
 {
     return std::tie(b.cordoned, a.usedCpu, a.vm) < std::tie(a.cordoned, b.usedCpu, b.vm);
 }
 
-std::size_t extraOf(const CordonPool &pool)
+std::size_t extraLateSurplus(const CordonPool &pool)
 {
     return pool.lateSurplus > pool.surplus ? pool.lateSurplus - pool.surplus : 0;
 }
@@ -22,15 +22,16 @@
 
 std::set<std::string> chooseCordons(std::vector<CordonPool> pools, std::size_t missing)
 {
-    std::sort(pools.begin(), pools.end(),
-              [](const CordonPool &a, const CordonPool &b) { return extraOf(a) > extraOf(b); });
+    std::sort(pools.begin(), pools.end(), [](const CordonPool &a, const CordonPool &b) {
+        return extraLateSurplus(a) > extraLateSurplus(b);
+    });
     for (const auto &pool : pools)
         missing -= std::min({missing, pool.surplus, pool.candidates.size()});
     std::set<std::string> result;
     for (auto &pool : pools) {
-        const auto extra = std::min(missing, extraOf(pool));
+        const auto extra = std::min(missing, extraLateSurplus(pool));
         missing -= extra;
-        std::sort(pool.candidates.begin(), pool.candidates.end(), comesFirst);
+        std::sort(pool.candidates.begin(), pool.candidates.end(), isPreferred);
         const auto count = std::min(pool.surplus + extra, pool.candidates.size());
         for (std::size_t i = 0; i < count; ++i)
             result.insert(pool.candidates[i].vm);
--- a/packages/scheduling/src/cordon_test.cpp
+++ b/packages/scheduling/src/cordon_test.cpp
@@ -1,11 +1,11 @@
-// Which VMs are emptied, for the loads at the end of a surge and beside a backlog.
+// Tests which VMs are cordoned at the end of a surge and next to a backlog.
 #include <sassafrasferry/scheduling/cordon.h>
 
 #include <catch2/catch.hpp>
 
 using namespace sassafrasferry::scheduling;
 
-TEST_CASE("VMs that get no new work")
+TEST_CASE("the least used surplus VMs are cordoned, and late work gives up VMs for on-time work")
 {
     struct Case
     {
@@ -21,12 +21,15 @@
     const std::vector<Case> cases{
         {"nothing to give up", {{0, 0, three}}, 2, {}},
         {"the least used of a surplus", {{2, 2, three}}, 0, {"b", "c"}},
-        {"a choice is kept", {{1, 1, kept}}, 0, {"a"}},
-        {"a surplus meets what others miss", {{1, 3, three}}, 1, {"c"}},
+        {"VMs that are already cordoned are preferred", {{1, 1, kept}}, 0, {"a"}},
+        {"a surplus covers the shortage of other pools", {{1, 3, three}}, 1, {"c"}},
         {"late work gives up VMs for on-time work", {{0, 3, three}}, 2, {"b", "c"}},
-        {"late work keeps its VMs while nobody misses any", {{0, 3, three}}, 0, {}},
-        {"the longest backlog gives first", {{0, 1, other}, {0, 2, three}}, 2, {"b", "c"}},
-        {"no more than there are", {{9, 9, other}}, 9, {"x", "y"}},
+        {"late work keeps its VMs while no other pool lacks any", {{0, 3, three}}, 0, {}},
+        {"the pool with the largest late surplus gives up VMs first",
+         {{0, 1, other}, {0, 2, three}},
+         2,
+         {"b", "c"}},
+        {"no more VMs than the pool has", {{9, 9, other}}, 9, {"x", "y"}},
     };
     for (const auto &row : cases) {
         INFO(row.name);
--- a/packages/scheduling/src/estimate_model_test.cpp
+++ b/packages/scheduling/src/estimate_model_test.cpp
@@ -1,4 +1,4 @@
-// Estimates that are off, as jobs declare them.
+// Tests of the learned run times with inaccurate estimates, as jobs declare them.
 #include <sassafrasferry/scheduling/estimate_model.h>
 
 #include <catch2/catch.hpp>
@@ -13,11 +13,12 @@
 
 struct Errors
 {
-    double trusted = 0; ///< mean distance of the logarithm, of the estimate as it came
-    double learned = 0;
+    double trusted = 0; ///< mean absolute error of the logarithm of the declared estimate
+    double learned = 0; ///< mean absolute error of the logarithm of the learned median
 };
 
-/// Work of 1 s on average whose estimates are off by a factor of e^spread, after `seen` of it.
+/// Errors after `seen` observations of work with a median of 1 s, whose estimates are off by a
+/// factor of about e^spread and multiplied by `bias`.
 Errors errorsAfter(int seen, double spread, double bias)
 {
     std::mt19937_64 random(7);
@@ -50,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("learned run times are closer than the estimates that came with the work")
+TEST_CASE("learned run times are closer to the actual run times than the declared estimates")
 {
     struct Case
     {
@@ -58,14 +59,14 @@
         int seen;
         double spread;
         double bias;
-        double atMost; ///< of the trusted estimate's error
+        double atMost; ///< largest error of the learned median, relative to that of the estimate
     };
     const std::vector<Case> cases{
-        {"nothing seen", 0, 0.9, 1, 1.0},
-        {"far off, a surge seen", 400, 0.9, 1, 0.65},
-        {"far off, soon after a takeover", 40, 0.9, 1, 0.85},
-        {"close estimates stay", 400, 0.1, 1, 1.05},
-        {"all too low", 400, 0.1, 0.4, 0.25},
+        {"no observations", 0, 0.9, 1, 1.0},
+        {"inaccurate estimates, after a surge", 400, 0.9, 1, 0.65},
+        {"inaccurate estimates, soon after a takeover", 40, 0.9, 1, 0.85},
+        {"accurate estimates are kept", 400, 0.1, 1, 1.05},
+        {"all estimates too low", 400, 0.1, 0.4, 0.25},
     };
     for (const auto &row : cases) {
         INFO(row.name);
@@ -74,7 +75,7 @@
     }
 }
 
-TEST_CASE("work without an estimate gets none")
+TEST_CASE("work without an estimate gets no learned run time")
 {
     EstimateModel model;
     model.observe(Milliseconds(0), Milliseconds(500));
--- a/packages/scheduling/src/fleet_planner.cpp
+++ b/packages/scheduling/src/fleet_planner.cpp
@@ -1,4 +1,4 @@
-// Moves of VMs by need, and the answers to orders.
+// Moves of VMs between pools by need, and the handling of answers to orders.
 #include "fleet_round.h"
 
 #include <sassafrasferry/scheduling/cordon.h>
@@ -9,9 +9,9 @@
 
 namespace sassafrasferry::scheduling {
 
-FleetPlanner::FleetPlanner(FleetTerms terms)
-    : terms(terms)
-    , sizing(terms.sizing)
+FleetPlanner::FleetPlanner(FleetTerms options)
+    : options(options)
+    , sizing(options.sizing)
 {}
 
 void FleetPlanner::listVms(const std::vector<Vm> &list, Instant askedAt)
@@ -21,7 +21,7 @@
     for (const auto &vm : list) {
         auto &entry = this->vms[vm.name];
         entry.listed = true;
-        if (entry.changedAt <= askedAt)
+        if (entry.vmChangedAt <= askedAt)
             entry.vm = vm;
     }
 }
@@ -30,8 +30,8 @@
 {
     auto &entry = this->vms[vm];
     entry.vm.name = vm;
-    entry.waitUntil = until;
-    entry.listed = false; // until the platform's list names it
+    entry.noOrderBefore = until;
+    entry.listed = false; // until the platform's list contains it
 }
 
 std::vector<DecisionNote> FleetPlanner::takeNotes()
@@ -42,17 +42,18 @@
 bool FleetPlanner::isBusy() const
 {
     return std::any_of(this->vms.begin(), this->vms.end(), [](const auto &entry) {
-        return entry.second.vm.state != VmState::Up || entry.second.ordered;
+        return entry.second.vm.state != VmState::Up || entry.second.hasOrderInProgress;
     });
 }
 
-bool FleetPlanner::isFree(const Entry &entry, const Round &round) const
+bool FleetPlanner::canReceiveOrder(const Entry &entry, const Round &round) const
 {
-    return entry.listed && entry.vm.state == VmState::Up && !entry.ordered && !entry.unanswered
-           && round.now >= entry.waitUntil;
+    return entry.listed && entry.vm.state == VmState::Up && !entry.hasOrderInProgress
+           && !entry.unansweredOrder && round.now >= entry.noOrderBefore;
 }
 
-// A VM of a standby pool has no worker; but the list that has it there may be behind.
+// A VM of a standby pool has no worker, but the list that shows it there may be out of date, so
+// that the scheduler is asked in any case.
 bool FleetPlanner::isEmpty(const Entry &entry, const Round &round) const
 {
     if (!round.scheduler.isVmEmpty(entry.vm.name, round.now))
@@ -62,15 +63,15 @@
     return isStandby || round.workers.count(entry.vm.name) != 0;
 }
 
-// A worker that lists itself for another pool came with a move that the platform's list does not
-// tell of yet. An order by that list could be one that is carried out already.
-bool FleetPlanner::mayMove(const Entry &entry, const Round &round) const
+// A worker that registered for another pool results from a move that the platform's list does not
+// show yet. An order based on that list could repeat one that was already executed.
+bool FleetPlanner::isMovable(const Entry &entry, const Round &round) const
 {
     const auto worker = round.workers.find(entry.vm.name);
     const bool isWhereListed =
         worker == round.workers.end() || worker->second->listing.service == entry.vm.pool;
-    return isWhereListed && this->isEmpty(entry, round) && this->isFree(entry, round)
-           && entry.leavingFor == 0;
+    return isWhereListed && this->isEmpty(entry, round) && this->canReceiveOrder(entry, round)
+           && entry.evacuatingForWave == 0;
 }
 
 std::vector<FleetOrder> FleetPlanner::plan(Scheduler &scheduler, Instant now,
@@ -85,53 +86,53 @@
         auto &pool = round.pools[entry.second.vm.pool];
         if (!entry.second.listed)
             continue;
-        // Its new incarnation has listed itself: the move or the maintenance is over.
+        // The new incarnation has registered, so the move or the maintenance has finished.
         const auto worker = round.workers.find(entry.first);
-        if (worker != round.workers.end() && worker->second->surveyed && !entry.second.ordered
-            && entry.second.vm.state != VmState::Up
+        if (worker != round.workers.end() && worker->second->surveyed
+            && !entry.second.hasOrderInProgress && entry.second.vm.state != VmState::Up
             && worker->second->listing.service == entry.second.vm.pool)
             entry.second.vm.state = VmState::Up;
-        // One that is emptied for a wave gives its pool no room any more.
-        const bool isLeaving = entry.second.leavingFor != 0;
-        if (entry.second.vm.state != VmState::Down && !isLeaving)
+        // A VM that is evacuated for a wave takes no new work, so it adds no capacity to its pool.
+        const bool isEvacuating = entry.second.evacuatingForWave != 0;
+        if (entry.second.vm.state != VmState::Down && !isEvacuating)
             ++pool.count;
         if (entry.second.vm.state == VmState::Up)
-            pool.up.push_back(&entry.second);
+            pool.upVms.push_back(&entry.second);
     }
     for (auto &entry : this->waveTable) {
         for (const auto &vm : entry.second.wave.vms) {
             if (!entry.second.completed && entry.second.done.count(vm) == 0)
-                round.waiting.insert(vm);
+                round.awaitingMaintenance.insert(vm);
         }
     }
     for (const auto &worker : round.workers)
-        worker.second->leavingSoon = round.waiting.count(worker.first) != 0;
-    this->measure(round);
-    this->repeatUnanswered(round);
+        worker.second->leavingSoon = round.awaitingMaintenance.count(worker.first) != 0;
+    this->computeNeeds(round);
+    this->repeatUnansweredOrders(round);
     for (auto &entry : this->waveTable)
         this->planWave(entry.second, round);
-    this->moveToNeed(round);
-    this->moveToStandby(round);
+    this->moveVmsByNeed(round);
+    this->moveSurplusToStandby(round);
     this->cordonVms(round);
     return std::move(round.orders);
 }
 
-// Work given to a VM whose order may be carried out yet would end with it, so the VM stays empty
-// and the same order is given again: one that was carried out is answered so.
-void FleetPlanner::repeatUnanswered(Round &round)
+// Work on a VM whose unanswered order may still be executed would be lost. The VM therefore stays
+// empty and the same order is sent again; the platform accepts an order that it already executed.
+void FleetPlanner::repeatUnansweredOrders(Round &round)
 {
     for (auto &entry : this->vms) {
         auto &vm = entry.second;
-        if (!vm.unanswered || vm.ordered || round.now < vm.waitUntil)
+        if (!vm.unansweredOrder || vm.hasOrderInProgress || round.now < vm.noOrderBefore)
             continue;
-        const auto order = *vm.unanswered;
-        this->order(vm, order, round);
+        const auto order = *vm.unansweredOrder;
+        this->issueOrder(vm, order, round);
     }
 }
 
-void FleetPlanner::measure(Round &round)
+void FleetPlanner::computeNeeds(Round &round)
 {
-    this->sizing.arrived(round.scheduler.takeArrivals(), round.now);
+    this->sizing.recordArrivals(round.scheduler.takeArrivals(), round.now);
     for (const auto &service : round.scheduler.configuration().services)
         round.pools[service.name].standby = service.standby;
     const auto loads = round.scheduler.loads(round.now, round.unixNow);
@@ -141,47 +142,49 @@
         if (pool.standby || at == loads.end())
             continue;
         double vmCores = 0;
-        for (const auto *vm : pool.up)
+        for (const auto *vm : pool.upVms)
             vmCores = std::max(vmCores, static_cast<double>(vm->vm.capacity.cpu) / 1000);
-        pool.need = this->sizing.needOf(entry.first, at->second, vmCores, pool.count, round.now);
+        pool.need =
+            this->sizing.computeNeed(entry.first, at->second, vmCores, pool.count, round.now);
     }
 }
 
-void FleetPlanner::order(Entry &entry, FleetOrder order, Round &round)
+void FleetPlanner::issueOrder(Entry &entry, FleetOrder order, Round &round)
 {
-    entry.ordered = true;
+    entry.hasOrderInProgress = true;
     round.scheduler.holdVm(entry.vm.name);
     const auto at = round.workers.find(entry.vm.name);
     if (at != round.workers.end())
         at->second->evacuating = true;
-    if (!entry.unanswered)
-        entry.endingWorker = at != round.workers.end() ? at->second->listing.id : "";
+    if (!entry.unansweredOrder)
+        entry.workerToEnd = at != round.workers.end() ? at->second->listing.id : "";
     this->notes.push_back({order.action == FleetAction::Move ? "move" : "maintain", entry.vm.name,
                            absl::StrCat("from=", entry.vm.pool, " to=", order.pool,
-                                        " wave=", order.wave, " worker=", entry.endingWorker)});
+                                        " wave=", order.wave, " worker=", entry.workerToEnd)});
     round.orders.push_back(std::move(order));
 }
 
-// A VM that a pool can do without now: of the standby pool, or one with nothing on it.
-FleetPlanner::Entry *FleetPlanner::spareFor(const std::string &target, std::size_t PoolNeed::*kept,
-                                            Round &round)
+// Finds an empty VM that its pool can give up now: from a standby pool if possible, else from a
+// pool with a surplus, else from one with more than its minimum.
+FleetPlanner::Entry *FleetPlanner::findSpareVm(const std::string &target,
+                                               std::size_t PoolNeed::*minimum, Round &round)
 {
     Entry *best = nullptr;
     int bestRank = 0;
     for (auto &entry : round.pools) {
         auto &pool = entry.second;
-        if (entry.first == target || (!pool.standby && pool.count <= pool.need.*kept))
+        if (entry.first == target || (!pool.standby && pool.count <= pool.need.*minimum))
             continue;
-        const bool isSurplus = pool.count > pool.need.wanted;
+        const bool isSurplus = pool.count > pool.need.desired;
         const int rank = pool.standby ? 3 : isSurplus ? 2 : 1;
         if (rank <= bestRank)
             continue;
-        for (auto *vm : pool.up) {
-            if (!this->mayMove(*vm, round) || vm->vm.pool != entry.first
-                || this->impossible.count(vm->vm.kind + " " + target) != 0)
+        for (auto *vm : pool.upVms) {
+            if (!this->isMovable(*vm, round) || vm->vm.pool != entry.first
+                || this->impossibleMoves.count(vm->vm.kind + " " + target) != 0)
                 continue;
-            // A VM of a standby pool that waits for maintenance is maintained there.
-            if (pool.standby && round.waiting.count(vm->vm.name) != 0)
+            // A VM of a standby pool that awaits maintenance stays there until it was maintained.
+            if (pool.standby && round.awaitingMaintenance.count(vm->vm.name) != 0)
                 continue;
             best = vm;
             bestRank = rank;
@@ -191,19 +194,20 @@
     return best;
 }
 
-// Work that is late anyhow takes what is left: it lacks the most VMs just when others are about to
-// be late as well.
-void FleetPlanner::moveToNeed(Round &round)
+// Work that is already late gets the VMs that remain after on-time work was served. It has the
+// largest shortage just when other work is about to become late, and would take all VMs otherwise.
+void FleetPlanner::moveVmsByNeed(Round &round)
 {
     const auto &mechanisms = round.scheduler.mechanisms();
     if (!mechanisms.has(Mechanism::Moves))
         return;
     if (mechanisms.has(Mechanism::OnTimeMoves))
-        this->moveTo(&PoolNeed::onTime, &PoolNeed::kept, round);
-    this->moveTo(&PoolNeed::wanted, &PoolNeed::wanted, round);
+        this->coverShortages(&PoolNeed::onTime, &PoolNeed::minimum, round);
+    this->coverShortages(&PoolNeed::desired, &PoolNeed::desired, round);
 }
 
-void FleetPlanner::moveTo(std::size_t PoolNeed::*wanted, std::size_t PoolNeed::*kept, Round &round)
+void FleetPlanner::coverShortages(std::size_t PoolNeed::*desired, std::size_t PoolNeed::*minimum,
+                                  Round &round)
 {
     struct Need
     {
@@ -213,21 +217,21 @@
     std::vector<Need> needs;
     for (const auto &entry : round.pools) {
         const auto &pool = entry.second;
-        if (!pool.standby && pool.need.*wanted > pool.count)
-            needs.push_back({entry.first, pool.need.*wanted - pool.count});
+        if (!pool.standby && pool.need.*desired > pool.count)
+            needs.push_back({entry.first, pool.need.*desired - pool.count});
     }
     std::sort(needs.begin(), needs.end(),
               [](const Need &a, const Need &b) { return a.missing > b.missing; });
     for (const auto &need : needs) {
         for (std::size_t i = 0; i < need.missing; ++i) {
-            if (round.orders.size() >= this->terms.mostOrders)
+            if (round.orders.size() >= this->options.maxOrdersPerRound)
                 return;
-            auto *vm = this->spareFor(need.pool, kept, round);
+            auto *vm = this->findSpareVm(need.pool, minimum, round);
             if (!vm)
                 return;
             --round.pools[vm->vm.pool].count;
             ++round.pools[need.pool].count;
-            this->order(*vm, {FleetAction::Move, vm->vm.name, need.pool, 0}, round);
+            this->issueOrder(*vm, {FleetAction::Move, vm->vm.name, need.pool, 0}, round);
         }
     }
 }
@@ -246,58 +250,61 @@
             return pool.count > need ? pool.count - need : 0;
         };
         missing += pool.need.onTime > pool.count ? pool.need.onTime - pool.count : 0;
-        CordonPool choice{above(pool.need.wanted), above(pool.need.kept), {}};
-        for (const auto *vm : pool.up) {
+        CordonPool cordonPool{above(pool.need.desired), above(pool.need.minimum), {}};
+        for (const auto *vm : pool.upVms) {
             const auto at = round.workers.find(vm->vm.name);
-            if (at == round.workers.end() || vm->ordered || vm->leavingFor != 0
+            if (at == round.workers.end() || vm->hasOrderInProgress || vm->evacuatingForWave != 0
                 || round.scheduler.hasLastingRuns(*at->second))
                 continue;
-            choice.candidates.push_back({vm->vm.name, at->second->used.cpu, at->second->cordoned});
+            cordonPool.candidates.push_back(
+                {vm->vm.name, at->second->used.cpu, at->second->cordoned});
         }
-        pools.push_back(std::move(choice));
+        pools.push_back(std::move(cordonPool));
     }
     const auto chosen = chooseCordons(std::move(pools), missing);
     for (const auto &entry : round.workers)
         entry.second->cordoned = chosen.count(entry.first) != 0;
 }
 
-// VMs of a standby pool cost nothing.
-void FleetPlanner::moveToStandby(Round &round)
+// VMs of a standby pool cost nothing, so surplus VMs are moved there.
+void FleetPlanner::moveSurplusToStandby(Round &round)
 {
     const auto standby = std::find_if(round.pools.begin(), round.pools.end(),
                                       [](const auto &entry) { return entry.second.standby; });
-    const bool releases = round.scheduler.mechanisms().has(Mechanism::Standby);
-    if (standby == round.pools.end() || !releases)
+    const bool isEnabled = round.scheduler.mechanisms().has(Mechanism::Standby);
+    if (standby == round.pools.end() || !isEnabled)
         return;
     for (auto &entry : round.pools) {
         auto &pool = entry.second;
         if (pool.standby)
             continue;
-        for (auto *vm : pool.up) {
-            if (pool.count <= pool.need.wanted || round.orders.size() >= this->terms.mostOrders)
+        for (auto *vm : pool.upVms) {
+            if (pool.count <= pool.need.desired
+                || round.orders.size() >= this->options.maxOrdersPerRound)
                 break;
-            if (!this->mayMove(*vm, round)
-                || this->impossible.count(vm->vm.kind + " " + standby->first) != 0)
+            if (!this->isMovable(*vm, round)
+                || this->impossibleMoves.count(vm->vm.kind + " " + standby->first) != 0)
                 continue;
             --pool.count;
-            this->order(*vm, {FleetAction::Move, vm->vm.name, standby->first, 0}, round);
+            this->issueOrder(*vm, {FleetAction::Move, vm->vm.name, standby->first, 0}, round);
         }
     }
 }
 
-// An order without an answer may be carried out anyhow, and has to be given again.
+// An unanswered order may be executed in any case, so it has to be sent again even if the VM is not
+// empty any more.
 bool FleetPlanner::mayGive(const FleetOrder &order, const Scheduler &scheduler, Instant now) const
 {
     const auto entry = this->vms.find(order.vm);
-    const bool isOpen = entry != this->vms.end() && entry->second.unanswered;
-    return isOpen || scheduler.isVmEmpty(order.vm, now);
+    const bool mayStillBeExecuted = entry != this->vms.end() && entry->second.unansweredOrder;
+    return mayStillBeExecuted || scheduler.isVmEmpty(order.vm, now);
 }
 
 void FleetPlanner::answered(const FleetOrder &order, FleetAnswer answer, Scheduler &scheduler,
                             Instant now)
 {
     auto &entry = this->vms[order.vm];
-    entry.ordered = false;
+    entry.hasOrderInProgress = false;
     const bool isMove = order.action == FleetAction::Move;
     if (answer != FleetAnswer::Accepted)
         this->notes.push_back({"fleet-refused", order.vm,
@@ -308,43 +315,44 @@
     if (answer == FleetAnswer::Accepted) {
         scheduler.releaseVm(order.vm);
         entry.vm.state = isMove ? VmState::Moving : VmState::Maintenance;
-        entry.changedAt = now;
-        entry.leavingFor = 0;
+        entry.vmChangedAt = now;
+        entry.evacuatingForWave = 0;
         if (isMove)
             entry.vm.pool = order.pool;
-        entry.unanswered.reset();
-        // A repeated order may have been carried out the first time: the worker that is there now
-        // came after it.
-        if (!entry.endingWorker.empty())
-            scheduler.endWorker(entry.endingWorker, EndEvidence::VmOrder, now);
+        entry.unansweredOrder.reset();
+        // A repeated order may have been executed on its first call. The current worker then
+        // started afterwards, so only the incarnation from before the first call is ended.
+        if (!entry.workerToEnd.empty())
+            scheduler.endWorker(entry.workerToEnd, EndEvidence::VmOrder, now);
         if (!worker.empty())
             scheduler.keepWorker(worker);
     } else {
-        entry.waitUntil = now + this->terms.retry;
-        // A refusal says nothing of the same call before it.
-        const bool isOpen =
-            answer == FleetAnswer::NoAnswer || (answer == FleetAnswer::Refused && entry.unanswered);
-        if (isOpen) {
-            entry.unanswered = order;
+        entry.noOrderBefore = now + this->options.retryDelay;
+        // A refusal of a repeated call does not tell whether an earlier call was executed.
+        const bool mayStillBeExecuted =
+            answer == FleetAnswer::NoAnswer
+            || (answer == FleetAnswer::Refused && entry.unansweredOrder);
+        if (mayStillBeExecuted) {
+            entry.unansweredOrder = order;
             return;
         }
-        entry.unanswered.reset();
+        entry.unansweredOrder.reset();
         scheduler.releaseVm(order.vm);
         if (isMove && !worker.empty())
             scheduler.keepWorker(worker);
     }
     if (isMove) {
         if (answer == FleetAnswer::Impossible)
-            this->impossible.insert(entry.vm.kind + " " + order.pool);
+            this->impossibleMoves.insert(entry.vm.kind + " " + order.pool);
         return;
     }
     const auto at = this->waveTable.find(order.wave);
-    const bool isOver = answer == FleetAnswer::Accepted || answer == FleetAnswer::NotInWave
-                        || answer == FleetAnswer::Impossible;
-    if (at != this->waveTable.end() && isOver) {
+    const bool isSettled = answer == FleetAnswer::Accepted || answer == FleetAnswer::NotInWave
+                           || answer == FleetAnswer::Impossible;
+    if (at != this->waveTable.end() && isSettled) {
         at->second.done.insert(order.vm);
         ++at->second.changes;
-        entry.leavingFor = 0;
+        entry.evacuatingForWave = 0;
         if (answer != FleetAnswer::Accepted && !worker.empty())
             scheduler.keepWorker(worker);
     }
--- a/packages/scheduling/src/fleet_planner_test.cpp
+++ b/packages/scheduling/src/fleet_planner_test.cpp
@@ -1,4 +1,4 @@
-// Moves and waves, on virtual time.
+// Tests of VM moves and maintenance waves, on virtual time.
 #include "../tests/estate.h"
 
 #include <catch2/catch.hpp>
@@ -7,39 +7,40 @@
 using namespace sassafrasferry::scheduling;
 using namespace std::chrono_literals;
 
-TEST_CASE("VMs move to the pool with more work than room")
+TEST_CASE("VMs are moved to a pool whose work exceeds its capacity")
 {
     Estate estate(2, 2, 4);
-    estate.work("one", 5 * 32, 1000); // five VMs' worth
+    estate.work("one", 5 * 32, 1000); // work for five VMs
     const auto orders = estate.plan();
     CHECK(estate.count(orders, FleetAction::Move, "one") >= 4);
 }
 
-// After an outage one queue has a long backlog that can't be on time any more, and another queue's
-// turn begins. Its callers would find no room, since the backlog lacks more VMs than they do.
-TEST_CASE("spare VMs go first to work that can still be on time")
+// Guards against on-time work without capacity: after an outage one queue has a long backlog that
+// can't be on time any more, while the surge of another queue begins. The backlog has the larger
+// shortage and would get all spare VMs.
+TEST_CASE("spare VMs go to work that can still be on time before late work")
 {
     Estate estate(1, 1, 3);
-    estate.work("one", 100, 16000); // fifty VMs' worth
-    estate.scheduler.takeArrivals(); // what came long ago tells nothing of what comes
+    estate.work("one", 100, 16000); // work for fifty VMs
+    estate.scheduler.takeArrivals(); // old arrivals must not count towards the present arrival rate
     estate.now += 60s;
     estate.reportAll();
-    estate.work("two", 8, 16000); // four
+    estate.work("two", 8, 16000); // work for four VMs
     const auto orders = estate.plan();
     CHECK(estate.count(orders, FleetAction::Move, "two") == 3);
     CHECK(estate.count(orders, FleetAction::Move, "one") == 0);
 }
 
-// After an outage a queue works off a long backlog that is late, on all VMs, while another queue's
-// surge begins: its callers would wait until the backlog is done.
-TEST_CASE("VMs of a late backlog get no new work while on-time work lacks VMs")
+// Guards against a surge that waits for a late backlog: after an outage one queue processes a long
+// late backlog on all VMs, and the surge of another queue would wait until the backlog is done.
+TEST_CASE("VMs of a late backlog are cordoned while on-time work of another pool lacks VMs")
 {
     Estate estate(4, 1, 0);
-    estate.work("one", 40, 4000); // 32 tasks find room
+    estate.work("one", 40, 4000); // 32 of the tasks fit on the VMs
     estate.scheduler.takeArrivals();
     estate.now += 60s;
     estate.reportAll();
-    estate.work("two", 16, 8000); // four VMs' worth
+    estate.work("two", 16, 8000); // work for four VMs
     estate.plan();
     std::size_t cordoned = 0;
     for (const auto &entry : estate.scheduler.workers())
@@ -47,7 +48,7 @@
     CHECK(cordoned == 3);
 }
 
-TEST_CASE("at the end of a surge new work is packed on few VMs")
+TEST_CASE("surplus VMs are cordoned at the end of a surge so that new work is packed on few VMs")
 {
     Estate estate(6, 1, 1);
     estate.work("one", 6 * 8, 4000);
@@ -63,7 +64,7 @@
     CHECK(cordoned >= 4);
 }
 
-TEST_CASE("an idle pool keeps what its lasting tasks need, and one VM")
+TEST_CASE("an idle pool keeps the VMs that its long-running tasks need, and one more")
 {
     Estate estate(8, 1, 1);
     estate.work("one", 3, 1000, true);
@@ -79,7 +80,7 @@
     CHECK(moved == 8 - 4);
 }
 
-TEST_CASE("a VM with something on it is not moved")
+TEST_CASE("a VM with running tasks is not moved")
 {
     Estate estate(3, 1, 1);
     estate.work("one", 3 * 8, 4000);
@@ -87,8 +88,8 @@
         CHECK(order.pool != "off");
 }
 
-// The platform allows only so many VMs of a wave under maintenance at once.
-TEST_CASE("a wave keeps to its bound and begins with VMs that are off")
+// The platform limits how many VMs of a wave can be under maintenance at the same time.
+TEST_CASE("a wave keeps to its limit and begins with VMs of the standby pool")
 {
     Estate estate(4, 4, 4);
     Wave wave{1, {"off0", "off1", "off2", "one0", "one1"}, 20s, 2};
@@ -105,7 +106,7 @@
     CHECK(estate.count(estate.plan(), FleetAction::Maintain) == 0);
 }
 
-TEST_CASE("a wave is completed once every VM that stays was maintained")
+TEST_CASE("a wave is completed once every VM that still exists was maintained")
 {
     Estate estate(1, 1, 2);
     estate.planner.addWave({1, {"off0", "off1", "gone"}, 20s, 2}, {"off0"}, estate.now);
@@ -122,9 +123,9 @@
     CHECK(estate.planner.waves().at(1).done.size() == 2);
 }
 
-// The caller's task ends with the VM: the order had no answer, its VM was given work again, and
-// then the order was carried out.
-TEST_CASE("an order without an answer is given again, and its VM no work meanwhile")
+// Guards against lost tasks: an order got no answer, its VM received work again, and then the
+// platform executed the order.
+TEST_CASE("an unanswered order is sent again, and its VM receives no work in the meantime")
 {
     Estate estate(1, 1, 1);
     estate.planner.addWave({1, {"one0"}, 20s, 1}, {}, estate.now);
@@ -147,7 +148,7 @@
     CHECK(estate.planner.waves().at(1).done.count("one0") == 1);
 }
 
-TEST_CASE("what an answer about a VM leads to")
+TEST_CASE("answers to a maintenance order settle the VM or leave it to be retried")
 {
     struct Case
     {
@@ -171,8 +172,9 @@
     }
 }
 
-// A task waited 24 s: the only other VM of its pool was being emptied, and yet counted as room.
-TEST_CASE("a VM that is emptied for a wave does not count as room of its pool")
+// Guards against a pool without capacity: a task waited 24 s because the only other VM of its pool
+// was being evacuated and still counted as capacity.
+TEST_CASE("a VM that is evacuated for a wave does not count as capacity of its pool")
 {
     Estate estate(2, 1, 2);
     estate.work("one", 2, 1000, true);
@@ -186,8 +188,9 @@
     CHECK(brought > 0);
 }
 
-// Two holders would take turns about one VM within the platform's bound.
-TEST_CASE("no order about a VM that the leader before gave an order about lately")
+// Guards against two leaders that both send orders about one VM within the time that the platform
+// requires between them.
+TEST_CASE("no order is issued about a VM for which the previous leader recently issued one")
 {
     Estate estate(2, 2, 2);
     estate.planner.defer("off0", estate.now + 3s);
@@ -203,10 +206,10 @@
     CHECK(later == 1);
 }
 
-// The platform is told to maintain more VMs at once than operators allow. The calls for as many as
-// may be get no answer; they may be carried out all the same, and are given again until they are
-// answered, so none of their places is free meanwhile.
-TEST_CASE("a maintenance order without an answer keeps its place in the wave's bound")
+// Guards against more VMs under maintenance at the same time than the operator allows. Maintenance
+// calls without an answer may still be executed and are sent again until they are answered, so each
+// of them counts towards the limit in the meantime.
+TEST_CASE("an unanswered maintenance order counts towards the limit of its wave")
 {
     Estate estate(1, 1, 3);
     estate.planner.addWave({1, {"off0", "off1", "off2"}, 30s, 1}, {}, estate.now);
@@ -221,12 +224,12 @@
     CHECK(again.front().vm == first.front().vm);
 }
 
-// Guards against work on a VM that an order may still end: the repeated call was refused, the first
-// had no answer.
-TEST_CASE("a refusal of a repeated order does not settle the first")
+// Guards against work on a VM that an order may still end: the first call got no answer and the
+// repeated call was refused.
+TEST_CASE("a refusal of a repeated order does not settle the first, unanswered call")
 {
     Estate estate(3, 1, 1);
-    estate.now += 2s; // the pool's need of the start is forgotten
+    estate.now += 2s; // the remembered peak of the initial need has expired
     estate.reportAll();
     const auto orders = estate.plan();
     REQUIRE(estate.count(orders, FleetAction::Move, "off") > 0);
--- a/packages/scheduling/src/fleet_round.h
+++ b/packages/scheduling/src/fleet_round.h
@@ -1,4 +1,4 @@
-// What one round of fleet planning works on.
+// State of one round of fleet planning.
 #pragma once
 
 #include <sassafrasferry/scheduling/fleet_planner.h>
@@ -11,8 +11,8 @@
     Instant now;
     UnixMilliseconds unixNow = 0;
     std::map<std::string, Pool> pools;
-    std::map<std::string, Worker *> workers; // by the name of their VM
-    std::set<std::string> waiting; // VMs that a wave has yet to maintain
+    std::map<std::string, Worker *> workers; // by VM name
+    std::set<std::string> awaitingMaintenance; // VMs that a wave still has to maintain
     std::vector<FleetOrder> orders;
 };
 
--- a/packages/scheduling/src/fleet_waves.cpp
+++ b/packages/scheduling/src/fleet_waves.cpp
@@ -1,4 +1,4 @@
-// Maintenance waves: which VM is emptied and maintained when.
+// Maintenance waves: decides which VMs are evacuated and maintained, and when.
 #include "fleet_round.h"
 
 #include <algorithm>
@@ -28,7 +28,7 @@
     return this->waveTable;
 }
 
-std::size_t FleetPlanner::underMaintenance(const WaveProgress &progress) const
+std::size_t FleetPlanner::countUnderMaintenance(const WaveProgress &progress) const
 {
     std::size_t count = 0;
     for (const auto &name : progress.wave.vms) {
@@ -36,9 +36,10 @@
         if (at == this->vms.end())
             continue;
         const auto &entry = at->second;
-        // One whose order had no answer may be under maintenance by now.
-        const bool mayBegin = (entry.ordered || entry.unanswered) && entry.leavingFor != 0;
-        count += entry.vm.state == VmState::Maintenance || mayBegin;
+        // A VM whose order is in progress or unanswered may already be under maintenance.
+        const bool mayHaveBegun =
+            (entry.hasOrderInProgress || entry.unansweredOrder) && entry.evacuatingForWave != 0;
+        count += entry.vm.state == VmState::Maintenance || mayHaveBegun;
     }
     return count;
 }
@@ -48,68 +49,72 @@
     if (progress.completed)
         return;
     const auto &wave = progress.wave;
-    std::vector<Entry *> left;
+    std::vector<Entry *> remaining;
     for (const auto &name : wave.vms) {
         const auto at = this->vms.find(name);
         if (at != this->vms.end() && at->second.listed && progress.done.count(name) == 0)
-            left.push_back(&at->second);
+            remaining.push_back(&at->second);
     }
-    if (left.empty() && !this->vms.empty()) {
-        this->finishWave(progress);
+    if (remaining.empty() && !this->vms.empty()) {
+        this->completeWave(progress);
         return;
     }
-    // VMs with nothing on them first, then those whose worker is emptied.
-    auto under = this->underMaintenance(progress);
-    std::size_t leaving = 0;
-    std::map<std::string, std::size_t> leavingOf;
-    for (auto *entry : left) {
+    // Empty VMs are maintained first, including those whose evacuation is complete. Evacuations of
+    // further VMs start below.
+    auto maintenanceCount = this->countUnderMaintenance(progress);
+    std::size_t evacuatingCount = 0;
+    std::map<std::string, std::size_t> evacuatingByPool;
+    for (auto *entry : remaining) {
         const auto worker = round.workers.find(entry->vm.name);
-        if (entry->leavingFor != 0 && !entry->ordered) {
-            ++leaving;
-            ++leavingOf[entry->vm.pool];
+        if (entry->evacuatingForWave != 0 && !entry->hasOrderInProgress) {
+            ++evacuatingCount;
+            ++evacuatingByPool[entry->vm.pool];
         }
         const bool hasWorker = worker != round.workers.end();
         bool isEmpty = this->isEmpty(*entry, round);
-        if (entry->leavingFor != 0 && hasWorker) {
-            const bool hurry = round.now - entry->leavingSince > this->terms.evacuationPatience;
-            isEmpty = round.scheduler.evacuate(worker->second->listing.id, hurry, round.now);
+        if (entry->evacuatingForWave != 0 && hasWorker) {
+            const bool isOverdue =
+                round.now - entry->evacuatingSince > this->options.evacuationGracePeriod;
+            isEmpty = round.scheduler.evacuate(worker->second->listing.id, isOverdue, round.now);
         }
-        if (!isEmpty || !this->isFree(*entry, round) || under >= wave.atOnce
-            || round.orders.size() >= this->terms.mostOrders)
+        if (!isEmpty || !this->canReceiveOrder(*entry, round) || maintenanceCount >= wave.atOnce
+            || round.orders.size() >= this->options.maxOrdersPerRound)
             continue;
-        ++under;
-        entry->leavingFor = wave.number;
-        this->order(*entry, {FleetAction::Maintain, entry->vm.name, "", wave.number}, round);
+        ++maintenanceCount;
+        entry->evacuatingForWave = wave.number;
+        this->issueOrder(*entry, {FleetAction::Maintain, entry->vm.name, "", wave.number}, round);
     }
-    const double timeLeft = std::max(policy::seconds(progress.seenAt - round.now)
-                                         + policy::seconds(wave.within) * this->terms.waveShare,
-                                     policy::seconds(this->terms.maintenanceTime));
+    const double timeLeft =
+        std::max(policy::seconds(progress.seenAt - round.now)
+                     + policy::seconds(wave.within) * this->options.waveTimeFraction,
+                 policy::seconds(this->options.maintenanceTime));
     const auto pace = static_cast<std::size_t>(
-        std::ceil(static_cast<double>(left.size()) * policy::seconds(this->terms.maintenanceTime)
-                  / timeLeft));
-    const auto most = std::min(wave.atOnce, std::max<std::size_t>(pace, 1));
-    std::sort(left.begin(), left.end(), [&](const Entry *a, const Entry *b) {
+        std::ceil(static_cast<double>(remaining.size())
+                  * policy::seconds(this->options.maintenanceTime) / timeLeft));
+    const auto maxCount = std::min(wave.atOnce, std::max<std::size_t>(pace, 1));
+    std::sort(remaining.begin(), remaining.end(), [&](const Entry *a, const Entry *b) {
         const auto used = [&](const Entry *entry) {
             const auto at = round.workers.find(entry->vm.name);
             return at == round.workers.end() ? 0 : at->second->used.cpu;
         };
         return used(a) < used(b);
     });
-    for (auto *entry : left) {
-        if (leaving + under >= most)
+    for (auto *entry : remaining) {
+        if (evacuatingCount + maintenanceCount >= maxCount)
             break;
         const auto worker = round.workers.find(entry->vm.name);
         auto &pool = round.pools[entry->vm.pool];
-        const auto bound =
-            std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(pool.up.size())
-                                                              * this->terms.mostOfPool));
-        if (entry->leavingFor != 0 || worker == round.workers.end() || !this->isFree(*entry, round)
-            || leavingOf[entry->vm.pool] >= bound)
+        const auto poolLimit = std::max<std::size_t>(
+            1, static_cast<std::size_t>(static_cast<double>(pool.upVms.size())
+                                        * this->options.maxEvacuatingPoolFraction));
+        if (entry->evacuatingForWave != 0 || worker == round.workers.end()
+            || !this->canReceiveOrder(*entry, round)
+            || evacuatingByPool[entry->vm.pool] >= poolLimit)
             continue;
-        entry->leavingFor = wave.number;
-        entry->leavingSince = round.now;
-        ++leaving;
-        ++leavingOf[entry->vm.pool];
+        entry->evacuatingForWave = wave.number;
+        entry->evacuatingSince = round.now;
+        ++evacuatingCount;
+        ++evacuatingByPool[entry->vm.pool];
         round.scheduler.evacuate(worker->second->listing.id, false, round.now);
         this->notes.push_back({"evacuate", entry->vm.name,
                                absl::StrCat("worker=", worker->second->listing.id, " runs=",
@@ -117,7 +122,7 @@
     }
 }
 
-void FleetPlanner::finishWave(WaveProgress &progress)
+void FleetPlanner::completeWave(WaveProgress &progress)
 {
     progress.completed = true;
     ++progress.changes;
--- a/packages/scheduling/src/pool_sizing.cpp
+++ b/packages/scheduling/src/pool_sizing.cpp
@@ -1,4 +1,4 @@
-// How many VMs each pool needs, from the work its service has and the work that arrives.
+// Computes how many VMs each pool needs from the present and the arriving work of its service.
 #include <sassafrasferry/scheduling/pool_sizing.h>
 
 #include <algorithm>
@@ -15,52 +15,56 @@
 
 } // namespace
 
-PoolSizing::PoolSizing(PoolSizingTerms terms)
-    : terms(terms)
+PoolSizing::PoolSizing(PoolSizingOptions options)
+    : options(options)
 {}
 
-void PoolSizing::arrived(const std::map<std::string, double> &coreSeconds, Instant now)
+void PoolSizing::recordArrivals(const std::map<std::string, double> &coreSeconds, Instant now)
 {
-    const auto memory = policy::seconds(this->terms.rateMemory);
-    const auto kept = std::exp(-policy::seconds(now - this->ratesAt) / memory);
+    const auto timeConstant = policy::seconds(this->options.rateTimeConstant);
+    const auto decay = std::exp(-policy::seconds(now - this->ratesAt) / timeConstant);
     this->ratesAt = now;
     for (auto &rate : this->rates)
-        rate.second *= kept;
+        rate.second *= decay;
     for (const auto &work : coreSeconds)
-        this->rates[work.first] += work.second / memory;
+        this->rates[work.first] += work.second / timeConstant;
 }
 
-PoolNeed PoolSizing::needOf(const std::string &service, const ServiceLoad &load, double vmCores,
-                            std::size_t count, Instant now)
+PoolNeed PoolSizing::computeNeed(const std::string &service, const ServiceLoad &load,
+                                 double vmCores, std::size_t count, Instant now)
 {
-    const double lateShare = load.readySeconds > 0 ? 1 - load.onTimeSeconds / load.readySeconds : 0;
+    const double lateFraction =
+        load.readySeconds > 0 ? 1 - load.onTimeSeconds / load.readySeconds : 0;
     const double lasting = cores(load.lasting);
     const double running = cores(load.running);
     const double waiting = cores(load.ready);
-    const double waitingOnTime = waiting * (1 - lateShare);
-    const double waitingLate = waiting * lateShare * this->terms.lateWeight;
+    const double waitingOnTime = waiting * (1 - lateFraction);
+    const double waitingLate = waiting * lateFraction * this->options.lateWeight;
     const double rate = this->rates[service];
     const double need = lasting + std::max(running + waitingOnTime + waitingLate, rate);
     const double onTime = lasting + std::max(running + waitingOnTime, rate);
-    const double kept = lasting + std::max(running - cores(load.lateRunning) + waitingOnTime, rate);
+    const double minimum =
+        lasting + std::max(running - cores(load.lateRunning) + waitingOnTime, rate);
     auto &peak = this->peaks[service];
-    const bool isRemembered = this->terms.mechanisms.has(Mechanism::PeakMemory);
-    if (!isRemembered || need >= peak.cores || now - peak.at > this->terms.peakMemory)
+    const bool holdsPeak = this->options.mechanisms.has(Mechanism::PeakMemory);
+    if (!holdsPeak || need >= peak.cores || now - peak.at > this->options.peakRetention)
         peak = {need, now};
     PoolNeed result;
     if (vmCores > 0) {
-        const auto vmsFor = [&](double wanted) {
-            return static_cast<std::size_t>(std::ceil(wanted * this->terms.headroom / vmCores));
+        const auto vmsFor = [&](double requiredCores) {
+            return static_cast<std::size_t>(
+                std::ceil(requiredCores * this->options.headroom / vmCores));
         };
-        result = {vmsFor(peak.cores), vmsFor(onTime), vmsFor(kept)};
+        result = {vmsFor(peak.cores), vmsFor(onTime), vmsFor(minimum)};
     }
-    // One more than the widest lasting step needs, so that its tasks can be moved off a VM.
-    const auto least = load.spread + (this->terms.mechanisms.has(Mechanism::SpareVm) ? 1 : 0);
-    result.wanted = std::max(result.wanted, least);
+    // One VM more than the widest long-running step needs, so that its tasks can be moved off a VM.
+    const auto minimumVms =
+        load.spread + (this->options.mechanisms.has(Mechanism::SpareVm) ? 1 : 0);
+    result.desired = std::max(result.desired, minimumVms);
     if (load.starves)
-        result.wanted = std::max(result.wanted, count + 1);
-    result.onTime = std::clamp(result.onTime, least, result.wanted);
-    result.kept = std::clamp(result.kept, least, result.onTime);
+        result.desired = std::max(result.desired, count + 1);
+    result.onTime = std::clamp(result.onTime, minimumVms, result.desired);
+    result.minimum = std::clamp(result.minimum, minimumVms, result.onTime);
     return result;
 }
 
--- a/packages/scheduling/src/pool_sizing_test.cpp
+++ b/packages/scheduling/src/pool_sizing_test.cpp
@@ -1,4 +1,4 @@
-// What pools want under surges, backlogs and lasting work.
+// Tests of the computed pool needs under surges and backlogs.
 #include <sassafrasferry/scheduling/pool_sizing.h>
 
 #include <catch2/catch.hpp>
@@ -23,13 +23,13 @@
 
 } // namespace
 
-TEST_CASE("needs of a pool by its load")
+TEST_CASE("the need of a pool follows its running, waiting and arriving work")
 {
     struct Case
     {
         const char *name;
         ServiceLoad load;
-        double arriving; ///< core-seconds at once
+        double arriving; ///< core-seconds that arrive in the same instant
         PoolNeed need;
     };
     const std::vector<Case> cases{
@@ -42,23 +42,23 @@
         INFO(row.name);
         PoolSizing sizing({});
         const Instant now(1h);
-        sizing.arrived({}, now);
-        sizing.arrived({{"s", row.arriving}}, now);
-        const auto need = sizing.needOf("s", row.load, vmCores, 1, now);
-        CHECK(need.wanted == row.need.wanted);
+        sizing.recordArrivals({}, now);
+        sizing.recordArrivals({{"s", row.arriving}}, now);
+        const auto need = sizing.computeNeed("s", row.load, vmCores, 1, now);
+        CHECK(need.desired == row.need.desired);
         CHECK(need.onTime == row.need.onTime);
-        CHECK(need.kept == row.need.kept);
+        CHECK(need.minimum == row.need.minimum);
     }
 }
 
-TEST_CASE("a need is remembered for a moment, but not held against other pools' on-time work")
+TEST_CASE("a peak of the need is held for a short time but does not raise the minimum")
 {
     PoolSizing sizing({});
     const Instant now(1h);
-    sizing.arrived({}, now);
-    sizing.needOf("s", loadOf(160, 0, 0, 1), vmCores, 12, now);
-    const auto soon = sizing.needOf("s", {}, vmCores, 12, now + 100ms);
-    CHECK(soon.wanted == 12);
-    CHECK(soon.kept == 1);
-    CHECK(sizing.needOf("s", {}, vmCores, 12, now + 2s).wanted == 1);
+    sizing.recordArrivals({}, now);
+    sizing.computeNeed("s", loadOf(160, 0, 0, 1), vmCores, 12, now);
+    const auto soon = sizing.computeNeed("s", {}, vmCores, 12, now + 100ms);
+    CHECK(soon.desired == 12);
+    CHECK(soon.minimum == 1);
+    CHECK(sizing.computeNeed("s", {}, vmCores, 12, now + 2s).desired == 1);
 }
--- a/packages/scheduling/src/vm_order_test.cpp
+++ b/packages/scheduling/src/vm_order_test.cpp
@@ -1,4 +1,4 @@
-// Which VMs an order about them may end: those whose worker holds nothing that would be lost.
+// Tests that orders only end VMs whose worker holds nothing that would be lost.
 #include "../tests/estate.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t vmCount = 3; // of the pool whose VMs an order may end
+constexpr std::size_t vmCount = 3; // VMs in the pool under test
 
 bool isOfPool(const FleetOrder &order)
 {
@@ -25,8 +25,8 @@
     return ids;
 }
 
-/// Sends the start of one task to each worker of the pool.
-std::vector<StartOrder> sendToEach(Estate &estate)
+/// Plans the start of one task on each worker of the pool.
+std::vector<StartOrder> planStartOnEach(Estate &estate)
 {
     jobs::StepSpec step;
     step.count = vmCount;
@@ -41,10 +41,10 @@
     return std::move(orders.starts);
 }
 
-/// The same, and gives each start that answer.
+/// Plans the start of one task on each worker of the pool and answers each start with `answer`.
 void startOnEach(Estate &estate, OrderAnswer answer)
 {
-    for (const auto &order : sendToEach(estate))
+    for (const auto &order : planStartOnEach(estate))
         estate.scheduler.startAnswered(order, answer, estate.now);
 }
 
@@ -56,9 +56,9 @@
     startOnEach(estate, OrderAnswer::Accepted);
 }
 
-void holdStartsOnTheirWay(Estate &estate)
+void holdStartsInFlight(Estate &estate)
 {
-    sendToEach(estate);
+    planStartOnEach(estate);
 }
 
 void holdUnansweredStarts(Estate &estate)
@@ -81,7 +81,7 @@
         estate.scheduler.recorded(row);
 }
 
-/// One worker runs a task, and the others list another run of it.
+/// One worker runs a task, and the other workers report another run of the same task.
 void holdSecondRuns(Estate &estate)
 {
     estate.work("one", 1, 1000);
@@ -100,7 +100,7 @@
     }
 }
 
-void holdUnseenRuns(Estate &estate)
+void holdUnreportedRuns(Estate &estate)
 {
     for (const auto &id : workersOfPool(estate))
         estate.scheduler.incarnationEnded(id, EndEvidence::Entry, estate.now);
@@ -115,8 +115,8 @@
     return listing;
 }
 
-/// The pool's VMs run tasks in their present incarnation, and the entry of the one before, which
-/// has ended, is listed again.
+/// The VMs of the pool run tasks in their current incarnation. The entry of the previous
+/// incarnation, which has ended, is listed again.
 void holdRunsBesideEndedIncarnation(Estate &estate, const std::string &idPrefix)
 {
     std::vector<WorkerListing> earlier;
@@ -132,7 +132,8 @@
         estate.scheduler.listWorker(listing, estate.now);
 }
 
-/// The same, but this leader has not heard of the incarnation before.
+/// The VMs of the pool run tasks in their current incarnation, and an entry of a previous
+/// incarnation that is unknown to this leader is listed.
 void holdRunsBesideUnknownIncarnation(Estate &estate, const std::string &idPrefix)
 {
     holdRuns(estate);
@@ -140,27 +141,27 @@
         estate.scheduler.listWorker(incarnationOf(estate, id, idPrefix, 1), estate.now);
 }
 
-// Tables by id visit the entry with the larger one last, so both orders are tried.
+// Tables sorted by id visit the larger id last, so both orders are tested.
 constexpr const char *smallerId = "a-";
 constexpr const char *largerId = "z-";
 
-/// What would end the VMs of the pool.
-struct Occasion
+/// A reason for the planner to order the end of the pool's VMs.
+struct OrderReason
 {
     const char *name;
     std::size_t otherVms;
-    std::size_t otherTasks; ///< work of the other pool, each of half a VM
+    std::size_t otherTasks; ///< tasks of the other pool, each of half a VM
     bool isWave;
 };
 
-std::size_t ordersAboutPool(const Occasion &occasion, void (*hold)(Estate &))
+std::size_t countOrdersAboutPool(const OrderReason &reason, void (*hold)(Estate &))
 {
-    Estate estate(vmCount, occasion.otherVms, 1);
-    if (occasion.otherTasks > 0)
-        estate.work("two", occasion.otherTasks, vmCores / 2);
+    Estate estate(vmCount, reason.otherVms, 1);
+    if (reason.otherTasks > 0)
+        estate.work("two", reason.otherTasks, vmCores / 2);
     hold(estate);
     estate.now += 100ms;
-    if (occasion.isWave)
+    if (reason.isWave)
         estate.planner.addWave({1, {"one0", "one1", "one2"}, 20s, vmCount}, {}, estate.now);
     const auto orders = estate.plan();
     return static_cast<std::size_t>(std::count_if(orders.begin(), orders.end(), isOfPool));
@@ -168,11 +169,11 @@
 
 } // namespace
 
-// Guards against tasks that run again after they were done: an order about a VM ended its worker
-// before what the worker had to tell was known and recorded.
-TEST_CASE("an order ends only VMs whose worker holds nothing")
+// Guards against tasks that run again after they completed: an order about a VM ended its worker
+// before the results of the worker were reported and recorded.
+TEST_CASE("orders only end VMs whose worker holds no runs and no unrecorded ends")
 {
-    const std::vector<Occasion> occasions{
+    const std::vector<OrderReason> reasons{
         {"a pool needs VMs", 1, 40, false},
         {"a pool has more VMs than it needs", 1, 0, false},
         {"a wave", 1, 0, true},
@@ -186,12 +187,12 @@
     const std::vector<Case> cases{
         {"nothing", holdNothing, true},
         {"runs", holdRuns, false},
-        {"starts on their way", holdStartsOnTheirWay, false},
-        {"starts without an answer", holdUnansweredStarts, false},
-        {"ends that are not recorded", holdUnrecordedEnds, false},
-        {"ends that are recorded", holdRecordedEnds, true},
+        {"starts in flight", holdStartsInFlight, false},
+        {"unanswered starts", holdUnansweredStarts, false},
+        {"unrecorded ends", holdUnrecordedEnds, false},
+        {"recorded ends", holdRecordedEnds, true},
         {"second runs of a task", holdSecondRuns, false},
-        {"runs that nobody has heard of", holdUnseenRuns, false},
+        {"runs that were never reported", holdUnreportedRuns, false},
         {"runs beside an ended incarnation with a smaller id",
          [](Estate &estate) { holdRunsBesideEndedIncarnation(estate, largerId); }, false},
         {"runs beside an ended incarnation with a larger id",
@@ -201,31 +202,31 @@
         {"runs beside an unknown incarnation with a larger id",
          [](Estate &estate) { holdRunsBesideUnknownIncarnation(estate, largerId); }, false},
     };
-    for (const auto &occasion : occasions) {
+    for (const auto &reason : reasons) {
         for (const auto &row : cases) {
-            INFO(occasion.name << ", " << row.name);
-            CHECK((ordersAboutPool(occasion, row.hold) > 0) == row.mayEnd);
+            INFO(reason.name << ", " << row.name);
+            CHECK((countOrdersAboutPool(reason, row.hold) > 0) == row.mayEnd);
         }
     }
 }
 
 namespace {
 
-/// The worker of a VM that the platform's list still has in the standby pool.
-constexpr const char *awake = "w-off0";
+/// The worker of a VM that the platform's list still shows in the standby pool.
+constexpr const char *workerOutsideStandby = "w-off0";
 
-void isOff(Estate &)
+void holdNoWorker(Estate &)
 {}
 
-void isAwake(Estate &estate)
+void holdIdleWorker(Estate &estate)
 {
     estate.addWorker("off0", "two");
 }
 
-/// Starts one task on each worker of its pool, and gives each start that answer.
-void wakeAndStart(Estate &estate, OrderAnswer answer)
+/// Starts one task on each worker of the VM's new pool and answers each start with `answer`.
+void addWorkerAndStart(Estate &estate, OrderAnswer answer)
 {
-    isAwake(estate);
+    holdIdleWorker(estate);
     jobs::StepSpec step;
     step.count = 2;
     step.need = {1000, 10, 0};
@@ -236,56 +237,57 @@
                                                   queue->terms, estate.now));
     for (const auto &order : estate.scheduler.plan(estate.now, 0).starts)
         estate.scheduler.startAnswered(order, answer, estate.now);
-    REQUIRE_FALSE(estate.scheduler.findWorker(awake)->runs.empty());
+    REQUIRE_FALSE(estate.scheduler.findWorker(workerOutsideStandby)->runs.empty());
 }
 
-void runsAwake(Estate &estate)
+void holdRunsOutsideStandby(Estate &estate)
 {
-    wakeAndStart(estate, OrderAnswer::Accepted);
+    addWorkerAndStart(estate, OrderAnswer::Accepted);
 }
 
-void mayRunAwake(Estate &estate)
+void holdUnansweredStartsOutsideStandby(Estate &estate)
 {
-    wakeAndStart(estate, OrderAnswer::NoAnswer);
+    addWorkerAndStart(estate, OrderAnswer::NoAnswer);
 }
 
-void endedAwake(Estate &estate)
+void holdUnrecordedEndsOutsideStandby(Estate &estate)
 {
-    runsAwake(estate);
-    estate.endAllBut(awake, 0);
+    holdRunsOutsideStandby(estate);
+    estate.endAllBut(workerOutsideStandby, 0);
 }
 
-void isUnheardAwake(Estate &estate)
+void holdUnreportedRunsOutsideStandby(Estate &estate)
 {
-    isAwake(estate);
-    estate.scheduler.incarnationEnded(awake, EndEvidence::Entry, estate.now);
+    holdIdleWorker(estate);
+    estate.scheduler.incarnationEnded(workerOutsideStandby, EndEvidence::Entry, estate.now);
 }
 
-void runsUnlisted(Estate &estate)
+void holdRunsOfUnlistedWorker(Estate &estate)
 {
-    runsAwake(estate);
-    estate.scheduler.unlistWorker(awake);
+    holdRunsOutsideStandby(estate);
+    estate.scheduler.unlistWorker(workerOutsideStandby);
 }
 
-void endedUnlisted(Estate &estate)
+void holdUnrecordedEndsOfUnlistedWorker(Estate &estate)
 {
-    endedAwake(estate);
-    estate.scheduler.unlistWorker(awake);
+    holdUnrecordedEndsOutsideStandby(estate);
+    estate.scheduler.unlistWorker(workerOutsideStandby);
 }
 
-void isOverAwake(Estate &estate)
+void holdEndedWorker(Estate &estate)
 {
-    runsAwake(estate);
-    estate.scheduler.endWorker(awake, EndEvidence::VmOrder, estate.now);
+    holdRunsOutsideStandby(estate);
+    estate.scheduler.endWorker(workerOutsideStandby, EndEvidence::VmOrder, estate.now);
 }
 
 } // namespace
 
-// Guards against tasks that run again after they were done: the platform's list was behind, and an
-// order ended a VM that had left the standby pool, with what its worker ran or had to tell.
-TEST_CASE("an order ends a VM of the standby pool only if no worker of it holds anything")
+// Guards against tasks that run again after they completed: the platform's list was out of date,
+// and an order ended a VM that had already left the standby pool, with its runs and unreported
+// results.
+TEST_CASE("orders only end standby VMs whose workers hold no runs and no unrecorded ends")
 {
-    const std::vector<Occasion> occasions{
+    const std::vector<OrderReason> reasons{
         {"a pool needs VMs", 1, 40, false},
         {"a wave", 1, 0, true},
     };
@@ -296,24 +298,25 @@
         bool mayEnd;
     };
     const std::vector<Case> cases{
-        {"no worker", isOff, true},
-        {"runs", runsAwake, false},
-        {"starts without an answer", mayRunAwake, false},
-        {"ends that are not recorded", endedAwake, false},
-        {"runs that nobody has heard of", isUnheardAwake, false},
-        {"runs, and the worker's entry is gone", runsUnlisted, false},
-        {"ends that are not recorded, and the worker's entry is gone", endedUnlisted, false},
-        {"a worker that is over", isOverAwake, true},
+        {"no worker", holdNoWorker, true},
+        {"runs", holdRunsOutsideStandby, false},
+        {"unanswered starts", holdUnansweredStartsOutsideStandby, false},
+        {"unrecorded ends", holdUnrecordedEndsOutsideStandby, false},
+        {"runs that were never reported", holdUnreportedRunsOutsideStandby, false},
+        {"runs, and the worker's entry was removed", holdRunsOfUnlistedWorker, false},
+        {"unrecorded ends, and the worker's entry was removed", holdUnrecordedEndsOfUnlistedWorker,
+         false},
+        {"a worker that has ended", holdEndedWorker, true},
     };
-    for (const auto &occasion : occasions) {
+    for (const auto &reason : reasons) {
         for (const auto &row : cases) {
-            INFO(occasion.name << ", " << row.name);
-            Estate estate(vmCount, occasion.otherVms, 1);
-            if (occasion.otherTasks > 0)
-                estate.work("two", occasion.otherTasks, vmCores / 2);
+            INFO(reason.name << ", " << row.name);
+            Estate estate(vmCount, reason.otherVms, 1);
+            if (reason.otherTasks > 0)
+                estate.work("two", reason.otherTasks, vmCores / 2);
             row.hold(estate);
             estate.now += 100ms;
-            if (occasion.isWave)
+            if (reason.isWave)
                 estate.planner.addWave({1, {"off0"}, 20s, 1}, {}, estate.now);
             const auto orders = estate.plan();
             const bool ends = std::any_of(orders.begin(), orders.end(),
@@ -323,8 +326,8 @@
     }
 }
 
-// Guards against logs that can't tell which order ended a worker, and what was lost with it.
-TEST_CASE("the log tells what showed that a worker has ended, and what it held")
+// Guards against logs that do not show why a worker was ended and what was lost with it.
+TEST_CASE("the log entry for an ended worker names the evidence and what the worker held")
 {
     struct Case
     {
