--- a/packages/jobs/include/sassafrasferry/jobs/job.h
+++ b/packages/jobs/include/sassafrasferry/jobs/job.h
@@ -1,4 +1,4 @@
-// A job under way: its tasks, their runs, and the states that all of them may take.
+// An accepted job with its tasks and runs, and the states of each.
 #pragma once
 
 #include <sassafrasferry/jobs/job_spec.h>
@@ -15,7 +15,7 @@
 using policy::Instant;
 using policy::UnixMilliseconds;
 
-/// Where a job stands. The numbers are kept in rows of the store.
+/// State of a job. The numeric values are stored in rows of the store.
 enum class JobState {
     Queued = 0,
     Running = 1,
@@ -43,14 +43,14 @@
            || state == JobState::Cancelled;
 }
 
-/// How a worker says that a run ended.
+/// How a run ended, as reported by its worker.
 enum class RunEnd {
     Done,
-    Failed, ///< by its own fault or the worker's
+    Failed, ///< through a fault of the task or of the worker
     Stopped,
-    Lapsed, ///< the worker's lease ended
-    Broken, ///< another member of its gang ended
-    Alone, ///< the other members of its gang did not come
+    Lapsed, ///< the worker's lease expired
+    Broken, ///< another member of the gang ended
+    Alone, ///< the other members of the gang did not start
 };
 
 constexpr auto enumNames(RunEnd)
@@ -62,20 +62,20 @@
     };
 }
 
-/// What is known of a run.
+/// State of a run as known to the leader.
 enum class RunState {
-    Ordered, ///< the start was sent, its answer is awaited
-    Unanswered, ///< the start got no answer: it may run, or may start later
-    Confirmed, ///< the worker has it
+    Ordered, ///< the start was sent and is not answered yet
+    Unanswered, ///< the start got no answer: the run may exist or may still start
+    Confirmed, ///< the worker has the run
     Stopping, ///< a stop was sent
 };
 
-/// What a worker has said of a run. An answer to a start does not tell which incarnation of the
-/// worker gave it; a report does.
+/// Evidence from a worker that a run exists. The answer to a start does not identify the
+/// incarnation of the worker that sent it; a report does.
 enum class RunEvidence {
-    None, ///< its start may still be on its way
-    Accepted, ///< its start was carried out, by some incarnation
-    Listed, ///< it was in a report of the incarnation that the leader knows
+    None, ///< the start may still be in flight
+    Accepted, ///< the start was executed, by an unknown incarnation
+    Listed, ///< listed in a report of the incarnation that the leader knows
 };
 
 /// One start of a task on a worker.
@@ -85,92 +85,96 @@
     std::int64_t number = 0;
     RunState state = RunState::Ordered;
     Instant orderedAt{};
-    /// Since when the worker must list it: a report asked for later that lacks it, and its end,
-    /// proves that it is not there and never will be.
+    /// From this time on the worker must list the run. A report that was requested later and
+    /// contains neither the run nor its end proves that the run does not exist and never will.
     Instant settledAt = Instant::max();
     RunEvidence evidence = RunEvidence::None;
-    bool isResumed = false; ///< began at a checkpoint, or was not begun by this process
-    Instant stopAskedAt{}; ///< when a stop was last ordered
-    Instant atWorkSince = Instant::max(); ///< of a lasting task: reported at its full share
-    int pace = 100; ///< percent of its full speed that was last ordered
-    std::int64_t load = 0; ///< as the worker says: tail in milliseconds if it serves
-    Instant overTargetSince = Instant::max(); ///< of a serving task whose tail is too long
+    bool isResumed = false; ///< started from a checkpoint, or not started by this process
+    Instant stopAskedAt{}; ///< when a stop was last requested
+    /// Since when a long-running task has been reported at its full share.
+    Instant atWorkSince = Instant::max();
+    int pace = 100; ///< last ordered speed, in percent of the full speed
+    /// As reported by the worker: tail latency in milliseconds of a serving task.
+    std::int64_t load = 0;
+    /// Since when the tail latency of a serving task exceeds its target.
+    Instant overTargetSince = Instant::max();
 };
 
-/// A task of a job. At most one run, but for copies of a speculative step.
+/// A task of a job. It has at most one run, except in speculative steps, which may run copies.
 struct Task
 {
     bool done = false;
-    /// Runs that count among its attempts. By number, since an end may be listed again to another
-    /// leader, and the ends of one task may come from several workers in any order.
+    /// Numbers of the failed runs, which count as attempts. Numbers rather than a counter, since an
+    /// end may be reported again to another leader, and the ends of one task may come from several
+    /// workers in any order.
     std::vector<std::int64_t> failedRuns;
-    std::int64_t lastRun = 0; ///< highest run number given out
-    std::vector<std::string> failedOn; ///< workers on which a run of it failed
-    std::string checkpoint; ///< where the next run goes on; empty: from the start
+    std::int64_t lastRun = 0; ///< highest run number assigned so far
+    std::vector<std::string> failedOn; ///< workers on which a run of the task failed
+    std::string checkpoint; ///< checkpoint that the next run resumes from; empty: from the start
     std::vector<Run> runs;
-    Instant idleSince{}; ///< when it last had no run at work; for lasting tasks
+    Instant idleSince{}; ///< since when a long-running task has had no working run
 };
 
-/// Where a job's tasks may run and how it counts.
+/// Properties that a job inherits from its queue.
 struct QueueTerms
 {
     std::string queue;
     std::string service;
-    std::int64_t priority = 0; ///< 0 comes first
+    std::int64_t priority = 0; ///< 0 is the highest priority
     std::uint32_t maxAttempts = 1;
-    double stretch = 1; ///< the aim is this many times the longest chain, and
-    Milliseconds target{0}; ///< this much more
+    double stretch = 1; ///< factor on the critical path of the job in its objective
+    Milliseconds target{0}; ///< time added to the stretched critical path in its objective
 };
 
-/// What a step is expected to take.
+/// Expected run times of a step.
 struct StepTimes
 {
-    Milliseconds task{0}; ///< one of its tasks, on average
-    Milliseconds step{0}; ///< its longest task
+    Milliseconds task{0}; ///< mean time of one of its tasks
+    Milliseconds step{0}; ///< time of its longest task
 };
 
-/// What an end did to its job.
+/// Effect of the end of a run on its job.
 enum class EndEffect {
-    None, ///< nothing that a new leader would need to know
-    Recorded, ///< a failure or a checkpoint
+    None, ///< no change that a new leader needs to know of
+    Recorded, ///< a failure or a checkpoint was recorded
     TaskDone,
     JobDone,
     JobFailed,
 };
 
-/// A job under way.
+/// An accepted job: its specification, its tasks and their runs.
 class Job
 {
 public:
     Job(std::string id, JobSpec spec, QueueTerms terms, Instant acceptedAt);
 
-    /// Takes over what its row of progress holds.
+    /// Restores the state from the stored row of progress.
     void restore(const messages::JobProgress &progress);
     messages::JobProgress progress() const;
 
-    /// The task, or nullptr if the job has none such.
+    /// Returns nullptr if the job has no such task.
     Task *find(const TaskId &id);
     Task &at(std::size_t occurrence, std::size_t step, std::size_t index);
-    /// True once all steps before it are done, in an occurrence that is due.
+    /// True if the occurrence is due and all steps that the step depends on are done.
     bool isOpen(std::size_t occurrence, std::size_t step, UnixMilliseconds now) const;
-    /// Tasks of a step that are not done.
+    /// Number of tasks of the step that are not done.
     std::size_t tasksLeft(std::size_t occurrence, std::size_t step) const;
 
-    /// Notes the end of a run that is no longer among the task's runs.
+    /// Records the end of a run. The caller removes the run from the task's runs.
     EndEffect noteEnd(const TaskId &id, std::int64_t run, RunEnd end,
                       const std::string &checkpoint);
-    /// A task took so long; returns the longest of its step.
+    /// Records the run time of a task and returns the longest run time in its step so far.
     Milliseconds noteTook(const TaskId &id, Milliseconds took);
-    /// No task is started any more; the runs are left to be stopped.
+    /// Starts no more tasks. The caller stops the remaining runs.
     void cancel();
     bool hasRuns() const;
 
-    /// Replaces the estimates of its steps by what is known of their queue.
+    /// Replaces the estimates of the steps by times learned for the queue.
     void expect(std::vector<StepTimes> times);
     const StepTimes &expected(std::size_t step) const;
-    /// When it is on time at the latest.
+    /// Latest completion time at which the job counts as on time.
     Instant objective() const;
-    /// The longest chain of work that is left.
+    /// Expected time of the critical path through the steps that are not done.
     Milliseconds chainLeft() const;
 
     const std::string id;
@@ -178,26 +182,29 @@
     QueueTerms terms;
     const Instant acceptedAt;
     JobState state = JobState::Queued;
-    /// True if its tasks may have runs that this process has not been told of.
+    /// True if its tasks may have runs that were not reported to this process yet.
     bool inherited = false;
-    std::uint64_t changes = 0; ///< changes of what `progress()` holds
-    std::uint64_t recordedChanges = 0; ///< those that are in the store
+    std::uint64_t changes = 0; ///< number of changes to the content of `progress()`
+    std::uint64_t recordedChanges = 0; ///< number of these changes that are in the store
 
 private:
-    std::size_t placeOf(std::size_t occurrence, std::size_t step, std::size_t index) const;
+    std::size_t positionOf(std::size_t occurrence, std::size_t step, std::size_t index) const;
     void markDone(std::size_t occurrence, std::size_t step, std::size_t index);
 
-    void measureChains();
+    void updatePathTimes();
 
     std::vector<StepTimes> stepTimes;
-    std::vector<std::size_t> firstOfStep; // place of a step's first task in its occurrence
-    std::size_t perOccurrence = 0;
+    // Position of a step's first task within its occurrence.
+    std::vector<std::size_t> firstTaskOfStep;
+    std::size_t occurrenceSize = 0;
     std::vector<Task> tasks; // by occurrence, step and index
-    std::vector<Milliseconds> longestTook; // of the tasks that are done, by occurrence and step
-    std::vector<std::size_t> left; // not done, by occurrence and step
-    std::size_t stepsLeft = 0; // with a task that is not done
-    Milliseconds wholeChain{0}; // of all steps
-    Milliseconds openChain{0}; // of the steps with a task that is not done
+    // Longest run time of the finished tasks, by occurrence and step.
+    std::vector<Milliseconds> longestTaskTimes;
+    // Number of tasks that are not done, by occurrence and step.
+    std::vector<std::size_t> unfinishedTasks;
+    std::size_t unfinishedSteps = 0; // over all occurrences: steps with a task that is not done
+    Milliseconds fullPathTime{0}; // expected time of the critical path through all steps
+    Milliseconds remainingPathTime{0}; // the same, through the steps with a task that is not done
 };
 
 } // namespace sassafrasferry::jobs
--- a/packages/jobs/include/sassafrasferry/jobs/job_spec.h
+++ b/packages/jobs/include/sassafrasferry/jobs/job_spec.h
@@ -1,4 +1,4 @@
-// What a caller asks for: a job of steps, each of a number of like tasks.
+// Specification of a job as submitted by a caller: steps, each with a number of identical tasks.
 #pragma once
 
 #include <sassafrasferry/messages/jobs.pb.h>
@@ -13,7 +13,7 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-/// What a task needs of its worker, or what a worker has.
+/// Resources that a task requires or that a worker provides.
 struct Resources
 {
     std::int64_t cpu = 0; ///< millicores
@@ -31,32 +31,33 @@
 {
     std::size_t count = 0;
     Resources need; ///< of each task
-    Milliseconds estimate{0}; ///< rough time of a task
+    Milliseconds estimate{0}; ///< declared run time of a task
     std::vector<std::size_t> after; ///< indices of earlier steps
-    bool gang = false; ///< the tasks run only together
-    bool sameRack = false; ///< slower over more than one rack
-    std::string requiredLabel; ///< of the worker; empty: none
-    std::string dataRack; ///< slower on any other; empty: none
-    std::size_t perVmLimit = 0; ///< tasks of the step on a worker; 0: no limit
-    bool speculative = false; ///< copies of a task may run side by side
-    bool lasting = false; ///< runs until the job is cancelled
+    bool gang = false; ///< the tasks run all at the same time or not at all
+    bool sameRack = false; ///< the tasks are slower when spread over several racks
+    std::string requiredLabel; ///< label that the worker must have; empty: none
+    std::string dataRack; ///< rack outside of which the tasks are slower; empty: none
+    std::size_t perVmLimit = 0; ///< maximum tasks of the step on one worker; 0: no limit
+    bool speculative = false; ///< several copies of a task may run at the same time
+    bool lasting = false; ///< the tasks run until the job is cancelled
     bool checkpointing = false;
-    std::string image; ///< tasks of the same image behave alike
-    Milliseconds tailTarget{0}; ///< of its own users' response times; 0: it serves none
-    bool filler = false; ///< its processors are not counted against the worker's
-    std::size_t maxUnavailable = 0; ///< tasks that the system may take away at once
+    std::string image; ///< tasks with the same image are assumed to behave alike
+    /// Tail latency target for requests that the task serves; 0: serves none.
+    Milliseconds tailTarget{0};
+    bool filler = false; ///< the tasks' CPU is not counted against the worker's capacity
+    std::size_t maxUnavailable = 0; ///< maximum tasks that the system may stop at the same time
 
-    /// What a task takes of its worker's room.
+    /// Resources that a task occupies on its worker.
     Resources footprint() const;
 };
 
-/// A job as a caller hands it in.
+/// A job as submitted by a caller.
 struct JobSpec
 {
-    std::string payload; ///< given to each task
+    std::string payload; ///< passed to each task
     std::vector<StepSpec> steps;
-    std::size_t repetitions = 0; ///< 0: runs once, at once
-    std::int64_t firstDue = 0; ///< Unix milliseconds
+    std::size_t repetitions = 0; ///< 0: runs once, immediately
+    std::int64_t firstDue = 0; ///< due time of the first occurrence, in Unix milliseconds
     Milliseconds interval{0}; ///< between the due times of occurrences
 
     std::size_t occurrences() const;
@@ -64,16 +65,16 @@
     bool isLasting() const;
 };
 
-/// Bounds of what one job may ask.
-constexpr std::size_t mostSteps = 200;
-constexpr std::size_t mostTasks = 100000;
+/// Limits on the size of one job.
+constexpr std::size_t maxSteps = 200;
+constexpr std::size_t maxTasks = 100000;
 
-/// Everything that is wrong with a job, with the key of each finding.
+/// Validates a job. Returns all problems found, each with the key that it concerns.
 model::Findings findProblems(const JobSpec &job);
 
-/// The longest chain of steps, each of which takes `timeOf` its index.
+/// Time of the critical path through the steps, where step `i` takes `timeOf(i)`.
 template<typename TimeOf>
-Milliseconds longestChain(const JobSpec &job, TimeOf timeOf)
+Milliseconds criticalPath(const JobSpec &job, TimeOf timeOf)
 {
     std::vector<Milliseconds> ends(job.steps.size());
     Milliseconds longest{0};
--- a/packages/jobs/include/sassafrasferry/jobs/task_id.h
+++ b/packages/jobs/include/sassafrasferry/jobs/task_id.h
@@ -1,4 +1,4 @@
-// Names a task: its job, its occurrence, its step and its index in the step.
+// Identifier of a task: its job, occurrence, step and index in the step.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace sassafrasferry::jobs {
 
-/// A task of a job.
+/// Identifies a task of a job.
 struct TaskId
 {
     std::string job;
@@ -19,7 +19,7 @@
     auto operator<=>(const TaskId &) const = default;
 };
 
-/// `JOB.OCCURRENCE.STEP.INDEX`, as workers know it.
+/// Formats the id as `JOB.OCCURRENCE.STEP.INDEX`, which is the form that workers use.
 std::string toString(const TaskId &task);
 std::optional<TaskId> parseTaskId(std::string_view text);
 
--- a/packages/jobs/src/job.cpp
+++ b/packages/jobs/src/job.cpp
@@ -1,4 +1,4 @@
-// The states of a job and of its tasks.
+// State transitions of a job and its tasks, and their stored form.
 #include <sassafrasferry/jobs/job.h>
 
 #include <algorithm>
@@ -12,31 +12,31 @@
     , acceptedAt(acceptedAt)
 {
     for (const auto &step : this->spec.steps) {
-        this->firstOfStep.push_back(this->perOccurrence);
-        this->perOccurrence += step.count;
+        this->firstTaskOfStep.push_back(this->occurrenceSize);
+        this->occurrenceSize += step.count;
         this->stepTimes.push_back({step.estimate, step.estimate});
     }
     const auto occurrences = this->spec.occurrences();
-    this->tasks.resize(this->perOccurrence * occurrences);
+    this->tasks.resize(this->occurrenceSize * occurrences);
     for (std::size_t i = 0; i < occurrences; ++i) {
         for (const auto &step : this->spec.steps)
-            this->left.push_back(step.count);
+            this->unfinishedTasks.push_back(step.count);
     }
-    this->stepsLeft = this->left.size();
-    this->longestTook.resize(this->left.size());
-    this->measureChains();
+    this->unfinishedSteps = this->unfinishedTasks.size();
+    this->longestTaskTimes.resize(this->unfinishedTasks.size());
+    this->updatePathTimes();
     for (auto &task : this->tasks)
         task.idleSince = acceptedAt;
 }
 
-std::size_t Job::placeOf(std::size_t occurrence, std::size_t step, std::size_t index) const
+std::size_t Job::positionOf(std::size_t occurrence, std::size_t step, std::size_t index) const
 {
-    return occurrence * this->perOccurrence + this->firstOfStep[step] + index;
+    return occurrence * this->occurrenceSize + this->firstTaskOfStep[step] + index;
 }
 
 Task &Job::at(std::size_t occurrence, std::size_t step, std::size_t index)
 {
-    return this->tasks[this->placeOf(occurrence, step, index)];
+    return this->tasks[this->positionOf(occurrence, step, index)];
 }
 
 Task *Job::find(const TaskId &id)
@@ -61,7 +61,7 @@
 
 std::size_t Job::tasksLeft(std::size_t occurrence, std::size_t step) const
 {
-    return this->left[occurrence * this->spec.steps.size() + step];
+    return this->unfinishedTasks[occurrence * this->spec.steps.size() + step];
 }
 
 void Job::markDone(std::size_t occurrence, std::size_t step, std::size_t index)
@@ -70,21 +70,21 @@
     if (task.done)
         return;
     task.done = true;
-    auto &count = this->left[occurrence * this->spec.steps.size() + step];
+    auto &count = this->unfinishedTasks[occurrence * this->spec.steps.size() + step];
     --count;
     if (count != 0)
         return;
-    --this->stepsLeft;
-    this->measureChains();
+    --this->unfinishedSteps;
+    this->updatePathTimes();
 }
 
-void Job::measureChains()
+void Job::updatePathTimes()
 {
     const auto timeOf = [this](std::size_t step) {
         return this->stepTimes[step].step;
     };
-    this->wholeChain = longestChain(this->spec, timeOf);
-    this->openChain = longestChain(this->spec, [&](std::size_t step) {
+    this->fullPathTime = criticalPath(this->spec, timeOf);
+    this->remainingPathTime = criticalPath(this->spec, [&](std::size_t step) {
         return this->tasksLeft(0, step) > 0 ? timeOf(step) : Milliseconds(0);
     });
 }
@@ -92,7 +92,7 @@
 void Job::expect(std::vector<StepTimes> times)
 {
     this->stepTimes = std::move(times);
-    this->measureChains();
+    this->updatePathTimes();
 }
 
 const StepTimes &Job::expected(std::size_t step) const
@@ -115,14 +115,14 @@
             this->markDone(id.occurrence, id.step, id.index);
         }
         ++this->changes;
-        if (this->stepsLeft > 0 || isFinal(this->state))
+        if (this->unfinishedSteps > 0 || isFinal(this->state))
             return EndEffect::TaskDone;
         this->state = JobState::Completed;
         return EndEffect::JobDone;
     }
     auto effect = EndEffect::None;
     if (!checkpoint.empty() && checkpoint != task->checkpoint) {
-        // Members of a gang go on from the same point.
+        // All members of a gang resume from the same checkpoint.
         for (std::size_t i = 0; step.gang && i < step.count; ++i)
             this->at(id.occurrence, id.step, i).checkpoint = checkpoint;
         task->checkpoint = checkpoint;
@@ -145,7 +145,7 @@
 
 Milliseconds Job::noteTook(const TaskId &id, Milliseconds took)
 {
-    auto &longest = this->longestTook[id.occurrence * this->spec.steps.size() + id.step];
+    auto &longest = this->longestTaskTimes[id.occurrence * this->spec.steps.size() + id.step];
     longest = std::max(longest, took);
     return longest;
 }
@@ -166,13 +166,13 @@
 
 Milliseconds Job::chainLeft() const
 {
-    return this->openChain;
+    return this->remainingPathTime;
 }
 
 Instant Job::objective() const
 {
     return this->acceptedAt + this->terms.target
-           + policy::fromSeconds(policy::seconds(this->wholeChain) * this->terms.stretch);
+           + policy::fromSeconds(policy::seconds(this->fullPathTime) * this->terms.stretch);
 }
 
 messages::JobProgress Job::progress() const
@@ -213,8 +213,8 @@
     for (std::size_t occurrence = 0; occurrence < this->spec.occurrences(); ++occurrence) {
         for (std::size_t step = 0; step < this->spec.steps.size(); ++step) {
             for (std::size_t i = 0; i < this->spec.steps[step].count; ++i) {
-                const auto place = this->placeOf(occurrence, step, i);
-                if (place / 8 < bits.size() && (bits[place / 8] >> (place % 8) & 1) != 0)
+                const auto position = this->positionOf(occurrence, step, i);
+                if (position / 8 < bits.size() && (bits[position / 8] >> (position % 8) & 1) != 0)
                     this->markDone(occurrence, step, i);
             }
         }
--- a/packages/jobs/src/job_spec.cpp
+++ b/packages/jobs/src/job_spec.cpp
@@ -1,4 +1,4 @@
-// Checks of a job, and its form as a row.
+// Validation of job specifications, and conversion to and from stored records.
 #include <sassafrasferry/jobs/job_spec.h>
 
 #include <absl/strings/str_cat.h>
@@ -65,8 +65,8 @@
     };
     if (job.steps.empty())
         find("steps", "must hold at least one step");
-    if (job.steps.size() > mostSteps)
-        find("steps", absl::StrCat("must hold at most ", mostSteps, " steps"));
+    if (job.steps.size() > maxSteps)
+        find("steps", absl::StrCat("must hold at most ", maxSteps, " steps"));
     for (std::size_t i = 0; i < job.steps.size(); ++i) {
         const auto &step = job.steps[i];
         const auto key = absl::StrCat("steps.", i, ".");
@@ -81,10 +81,10 @@
     }
     if (job.repetitions > 0 && job.firstDue <= 0)
         find("start", "a repeated job needs the time of its first occurrence");
-    if (job.steps.size() <= mostSteps
-        && (job.tasksPerOccurrence() > mostTasks || job.occurrences() > mostTasks
-            || job.tasksPerOccurrence() * job.occurrences() > mostTasks))
-        find("steps", absl::StrCat("must hold at most ", mostTasks, " tasks in all"));
+    if (job.steps.size() <= maxSteps
+        && (job.tasksPerOccurrence() > maxTasks || job.occurrences() > maxTasks
+            || job.tasksPerOccurrence() * job.occurrences() > maxTasks))
+        find("steps", absl::StrCat("must hold at most ", maxTasks, " tasks in all"));
     return findings;
 }
 
--- a/packages/jobs/src/task_id.cpp
+++ b/packages/jobs/src/task_id.cpp
@@ -1,4 +1,4 @@
-// Names of tasks.
+// Formatting and parsing of task identifiers.
 #include <sassafrasferry/jobs/task_id.h>
 
 #include <vector>
