--- a/packages/scheduling/include/sassafrasferry/scheduling/orders.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/orders.h
@@ -1,11 +1,11 @@
-// What the scheduler wants done at workers, and how they may answer.
+// Orders from the scheduler to workers, and the possible answers.
 #pragma once
 
 #include <sassafrasferry/scheduling/worker.h>
 
 namespace sassafrasferry::scheduling {
 
-/// Start a run.
+/// Starts a run.
 struct StartOrder
 {
     std::string worker;
@@ -13,11 +13,11 @@
     std::int64_t run = 0;
     std::string payload;
     std::string checkpoint;
-    std::string ticket; ///< of the queue's advice; empty: none needed
-    Instant expires{}; ///< not sent any more after this
+    std::string ticket; ///< from the queue's policy service; empty if none is needed
+    Instant expires{}; ///< not sent after this time
 };
 
-/// Stop a run, or keep it from starting if its start has not arrived yet.
+/// Stops a run, or prevents it from starting if its start has not arrived yet.
 struct StopOrder
 {
     std::string worker;
@@ -26,7 +26,7 @@
     std::string reason;
 };
 
-/// Let a run work at a share of its full speed.
+/// Sets the share of its full speed at which a run works.
 struct PaceOrder
 {
     std::string worker;
@@ -35,7 +35,7 @@
     int percent = 100;
 };
 
-/// Everything that one round of planning decided.
+/// All orders from one planning round.
 struct Orders
 {
     std::vector<StartOrder> starts;
@@ -43,19 +43,19 @@
     std::vector<PaceOrder> paces;
 };
 
-/// How an order ended.
+/// The outcome of an order.
 enum class OrderAnswer {
     Accepted,
-    NoRoom, ///< the worker has not the room
-    NoTicket, ///< the ticket is missing or has run out
-    Fenced, ///< the worker has heard a newer leader
-    Superseded, ///< the run number is not higher than one that ended there
-    Expired, ///< the lease that came with it is over
-    Unhealthy, ///< the worker did nothing and cannot now
-    OtherIncarnation, ///< another incarnation of a worker answers there
-    Malformed, ///< the worker does not understand it
-    NotSent, ///< no byte of it left
-    NoAnswer, ///< it may be carried out, now or later
+    NoRoom, ///< the worker lacks the resources
+    NoTicket, ///< the ticket is missing or has expired
+    Fenced, ///< the worker knows a newer leader
+    Superseded, ///< the worker has ended a run of the task with this or a higher number
+    Expired, ///< the lease sent with it has expired
+    Unhealthy, ///< the worker is unhealthy and did not carry it out
+    OtherIncarnation, ///< another incarnation or worker answered at the address
+    Malformed, ///< the worker could not parse it
+    NotSent, ///< no byte of it was sent
+    NoAnswer, ///< unknown: it may have been carried out or still be
 };
 
 constexpr auto enumNames(OrderAnswer)
--- a/packages/scheduling/include/sassafrasferry/scheduling/queue.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/queue.h
@@ -1,4 +1,4 @@
-// The configuration in force: queues of jobs, and the services whose workers run them.
+// The current configuration: job queues, and the services whose workers run their jobs.
 #pragma once
 
 #include <sassafrasferry/jobs/job.h>
@@ -7,15 +7,15 @@
 
 namespace sassafrasferry::scheduling {
 
-/// A policy service that must be asked which workers may run a step.
+/// Timing of a policy service that decides which workers may run a step.
 struct AdviceTerms
 {
-    std::chrono::milliseconds decision{0}; ///< time of a call
-    std::chrono::milliseconds perWorker{0}; ///< more for each worker named
+    std::chrono::milliseconds decision{0}; ///< base duration of a call
+    std::chrono::milliseconds perWorker{0}; ///< added to a call for each worker in it
     std::chrono::milliseconds validity{0}; ///< of a ticket
 };
 
-/// A queue: where callers hand jobs in, and how they are run.
+/// A queue: the host and path prefix where callers submit jobs, and how these are run.
 struct Queue
 {
     jobs::QueueTerms terms;
@@ -24,12 +24,12 @@
     std::optional<AdviceTerms> advice;
 };
 
-/// Workers of one kind of work.
+/// A pool of workers that run the same kind of job.
 struct Service
 {
     std::string name;
-    bool rejectsOverload = false; ///< its workers refuse what does not fit
-    bool standby = false; ///< its workers are off, and cost nothing there
+    bool rejectsOverload = false; ///< its workers refuse tasks that do not fit
+    bool standby = false; ///< its VMs are powered off and cost nothing
 };
 
 /// A version of the configuration.
@@ -38,10 +38,10 @@
     std::int64_t version = 0;
     std::vector<Queue> queues;
     std::vector<Service> services;
-    std::int64_t bodyBytes = 256LL * 1024;
+    std::int64_t bodyBytes = 256LL * 1024; ///< largest request body
 
     const Queue *findQueue(std::string_view name) const;
-    /// The queue of the longest prefix of the path, at that host.
+    /// The queue of the host with the longest prefix that matches the path.
     const Queue *route(std::string_view host, std::string_view path) const;
     const Service *findService(std::string_view name) const;
 };
--- a/packages/scheduling/include/sassafrasferry/scheduling/scheduler.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/scheduler.h
@@ -1,5 +1,6 @@
-// The scheduling leader's memory of jobs and workers, and what it decides. Pure: events and the
-// time are handed in, orders are taken out; nothing here waits, sends or asks a clock.
+// The scheduling leader's state of jobs and workers, and its decisions about them. Free of I/O:
+// callers pass in events and the current time and take out orders; nothing here blocks, sends or
+// reads a clock.
 #pragma once
 
 #include <sassafrasferry/scheduling/estimate_model.h>
@@ -17,39 +18,41 @@
 using jobs::Job;
 using jobs::JobState;
 
-/// Times of leases at workers.
+/// Timeouts and durations of the scheduler: worker leases, backoff, takeover.
 struct SchedulerTimes
 {
-    Duration workerLease = std::chrono::milliseconds(4000); ///< of each hold and start
-    Duration longestLease = std::chrono::milliseconds(10000); ///< that a worker grants
-    double clockDrift = 0.02; ///< by how much a worker's clock may be slow
-    Duration leaseMargin = std::chrono::milliseconds(150); ///< for the bounds of what was heard
-    /// A worker that has not answered for longer gets no starts, and no longer lease.
-    Duration silence = std::chrono::milliseconds(1800);
-    Duration roomBackOff = std::chrono::milliseconds(150);
-    Duration failingBackOff = std::chrono::milliseconds(2000); ///< of a worker that fails most runs
+    Duration workerLease = std::chrono::milliseconds(4000); ///< granted with each hold and start
+    Duration longestLease = std::chrono::milliseconds(10000); ///< longest that a worker accepts
+    double clockDrift = 0.02; ///< share by which a worker's clock may run slow
+    Duration leaseMargin = std::chrono::milliseconds(150); ///< added to each lease bound
+    /// A worker that has not answered for longer gets no starts, and its lease is not extended.
+    Duration answerTimeout = std::chrono::milliseconds(1800);
+    Duration roomBackOff = std::chrono::milliseconds(150); ///< after a refusal for lack of room
+    Duration failingBackOff = std::chrono::milliseconds(2000); ///< after most recent runs failed
+    /// After an "unhealthy" or "malformed" answer.
     Duration healthBackOff = std::chrono::milliseconds(500);
-    /// How long after a takeover a worker that nobody reaches may still run what the last leader
-    /// ordered: the time for which that one may order without the store, and a lease.
+    /// How long after a takeover an unreachable worker may still run tasks that the previous leader
+    /// started: the time for which that leader may send orders without the store, plus one lease.
     Duration inheritedLease = std::chrono::milliseconds(10700);
-    Duration starvation = std::chrono::milliseconds(900); ///< a lasting task may wait for room
-    /// An older report does not tell that a task is at work. Holds answer within a second.
-    Duration reportAge = std::chrono::milliseconds(1500);
-    /// How long a lasting task counts as away after the first report that it is at work.
-    Duration settling = std::chrono::milliseconds(200);
-    Duration workerMemory = std::chrono::seconds(20); ///< of workers that are in no list
-    Duration startExpiry = std::chrono::milliseconds(1500); ///< an order unsent for longer is void
-    Duration longestOrder = std::chrono::milliseconds(3000); ///< until it is answered or given up
+    Duration starvationTime = std::chrono::milliseconds(900); ///< longest wait of a lasting task
+    /// A lasting task counts as available only if its worker reported within this time. Holds are
+    /// answered within a second.
+    Duration maxReportAge = std::chrono::milliseconds(1500);
+    /// A lasting task counts as unavailable for this long after the first report at full share.
+    Duration minReadyTime = std::chrono::milliseconds(200);
+    Duration workerRetention = std::chrono::seconds(20); ///< of unlisted workers
+    Duration startExpiry = std::chrono::milliseconds(1500); ///< unsent starts expire after this
+    Duration orderTimeout = std::chrono::milliseconds(3000); ///< then a start is unanswered
     MechanismSet mechanisms;
 };
 
-/// A task whose state is wanted in the store.
+/// A job whose row in the store is out of date.
 struct DirtyJob
 {
     std::string id;
-    std::uint64_t changes = 0; ///< of the job, when its row was made
+    std::uint64_t changes = 0; ///< change counter of the job at the time of the row
     messages::JobProgress row;
-    bool final = false;
+    bool final = false; ///< the job has reached a final state
 };
 
 /// One line about a decision, for the log.
@@ -60,25 +63,26 @@
     std::string detail;
 };
 
-/// What a service has to do, and what it has for it.
+/// Demand and capacity of a service.
 struct ServiceLoad
 {
-    std::size_t workers = 0; ///< that take work
-    Resources room; ///< free at these
-    Resources capacity; ///< of these
-    Resources lasting; ///< taken by lasting tasks
-    Resources running; ///< taken by other tasks
-    Resources lateRunning; ///< of these, by tasks of jobs that can't be on time any more
-    Resources ready; ///< that tasks need which wait for nothing but room
-    double readySeconds = 0; ///< core-seconds of these tasks
-    double onTimeSeconds = 0; ///< of these, of jobs that can still be on time
-    double laterSeconds = 0; ///< core-seconds of tasks that wait for other steps
-    std::size_t spread = 0; ///< workers that the widest lasting step needs, since it may not share
-    bool starves = false; ///< a task waits for long, though room may be there in bits
-    std::size_t jobs = 0; ///< under way
+    std::size_t workers = 0; ///< workers that accept new tasks
+    Resources room; ///< free on these workers
+    Resources capacity; ///< total of these workers
+    Resources lasting; ///< in use by lasting tasks
+    Resources running; ///< in use by other tasks
+    Resources lateRunning; ///< part of `running` in use by jobs that will miss their objective
+    Resources ready; ///< need of the tasks that could start at once if there were room
+    double readySeconds = 0; ///< core-seconds of these ready tasks
+    double onTimeSeconds = 0; ///< part of `readySeconds` of jobs that can meet their objective
+    double laterSeconds = 0; ///< core-seconds of tasks that depend on unfinished steps
+    /// Fewest workers that satisfy the per-VM limits: what the widest lasting step needs.
+    std::size_t spread = 0;
+    bool starves = false; ///< a lasting task has waited too long; free room may be fragmented
+    std::size_t jobs = 0; ///< unfinished jobs
 };
 
-/// Counts since the start, for metrics.
+/// Totals since process start, for metrics.
 struct SchedulerCounts
 {
     std::uint64_t starts = 0;
@@ -93,7 +97,8 @@
 class Scheduler
 {
 public:
-    /// Run numbers of this leader begin above `runBase`, so that none of an earlier one returns.
+    /// Run numbers of this leader start above `runBase`, so that they never repeat those of an
+    /// earlier leader.
     Scheduler(SchedulerTimes times, std::int64_t runBase, Instant tookOverAt);
 
     void setConfiguration(Configuration configuration);
@@ -101,18 +106,19 @@
 
     // Jobs.
     void addJob(std::unique_ptr<Job> job);
-    /// False if no such job is under way.
+    /// Returns false if there is no unfinished job with this id.
     bool cancelJob(const std::string &id);
     JobState stateOf(const std::string &id) const;
     std::size_t pendingOf(const std::string &queue) const;
     Job *findJob(const std::string &id);
     std::size_t jobCount() const;
-    /// The rows to write, of jobs that changed since and are wanted.
+    /// Takes up to `maxRows` rows of changed jobs that `isWanted` accepts, to be written to the
+    /// store.
     template<typename IsWanted>
-    std::vector<DirtyJob> takeDirty(std::size_t most, IsWanted isWanted)
+    std::vector<DirtyJob> takeDirty(std::size_t maxRows, IsWanted isWanted)
     {
         std::vector<DirtyJob> result;
-        for (auto at = this->dirty.begin(); at != this->dirty.end() && result.size() < most;) {
+        for (auto at = this->dirty.begin(); at != this->dirty.end() && result.size() < maxRows;) {
             if (!isWanted(*at)) {
                 ++at;
                 continue;
@@ -123,65 +129,68 @@
         }
         return result;
     }
-    /// The row of a job as of `changes` is in the store.
+    /// Records that a row taken with `takeDirty` has been written to the store.
     void recorded(const DirtyJob &job);
     bool hasDirty() const;
 
     // Workers.
     void listWorker(const WorkerListing &listing, Instant now);
     void unlistWorker(const std::string &id);
-    /// There is such a worker, though it does not list itself: it may run what an earlier leader
-    /// ordered.
+    /// Registers a worker that has no entry in the list of workers but may still run tasks that an
+    /// earlier leader started.
     void expectWorker(const std::string &id, const std::string &service);
-    /// Ends the incarnations of a VM that the platform's list shows to be over. `listedBefore` are
-    /// the workers that were listed before the platform was asked: others may have begun since.
+    /// Retires incarnations of a VM that have ended according to the platform's list of VMs.
+    /// `listedBefore` names the workers that were listed before the platform was queried; any other
+    /// worker may have started since.
     void endEarlierIncarnations(const VmIncarnation &present,
                                 const std::set<std::string> &listedBefore, Instant now);
-    /// All workers that may run something inherited are known by now.
+    /// Records that every worker that may run tasks of an earlier leader is now known.
     void knowsAllWorkers();
-    /// What a worker answered to a hold that was sent at `askedAt`.
+    /// Applies a worker's answer to a hold that was sent at `askedAt`.
     void report(const WorkerReport &report, Instant askedAt, Instant now);
-    /// Another incarnation answers at the worker's address: what ran there is gone.
+    /// Records that this incarnation of the worker has ended, and with it the runs reported there.
     void incarnationEnded(const std::string &id, EndEvidence evidence, Instant now);
-    /// The worker is gone, and no incarnation comes back under its id.
+    /// Retires a worker whose id no later incarnation will use.
     void endWorker(const std::string &id, EndEvidence evidence, Instant now);
-    /// Forgets workers that are gone and ran nothing for a while.
+    /// Removes unlisted workers that have no runs and can't have a valid lease, once they have
+    /// ended or have not answered for `workerRetention`.
     void forgetWorkers(Instant now);
     std::size_t listedWorkers() const;
-    /// Until when a hold or start sent now lets the worker run, by its clock; nothing if its clock
-    /// is not known.
+    /// The end, by the worker's clock, of the lease that goes with a hold or start sent now.
+    /// Nothing if the worker's clock is unknown or the worker is unresponsive.
     std::optional<std::int64_t> leaseUntil(const std::string &id, Instant now);
-    /// The ends up to this number are in the store.
+    /// The effects of all ends up to this number are in the store.
     std::int64_t acknowledged(const std::string &id) const;
     const std::map<std::string, Worker> &workers() const;
     Worker *findWorker(const std::string &id);
-    /// The present incarnation of a VM; nullptr if none lists itself.
+    /// The current incarnation of a VM; nullptr if it is not listed.
     Worker *workerOf(const std::string &vm);
-    /// No incarnation of a VM is known that holds anything, whether or not it lists itself.
+    /// True if the current incarnation of the VM, listed or not, is empty or unknown.
     bool isVmEmpty(const std::string &vm, Instant now) const;
 
     // Orders.
     Orders plan(Instant now, UnixMilliseconds unixNow);
     void startAnswered(const StartOrder &order, OrderAnswer answer, Instant now);
     void stopAnswered(const StopOrder &order, OrderAnswer answer, Instant now);
-    /// Orders the stop of a run in the next plan.
+    /// Adds a stop of the run to the orders of the next `plan`.
     void requestStop(const std::string &worker, const RunKey &run, std::string reason);
 
-    /// Takes a worker's tasks away, as far as its lasting steps allow for, and gives it no more.
-    /// `hurry`: tasks that keep no checkpoint are stopped too. True once nothing runs there.
-    bool evacuate(const std::string &worker, bool hurry, Instant now);
-    /// The worker may be given work again.
+    /// Stops a worker's tasks as far as the availability budgets of their steps allow, and assigns
+    /// it no more. With `force`, tasks without checkpoints are stopped too. Returns true once the
+    /// worker is empty.
+    bool evacuate(const std::string &worker, bool force, Instant now);
+    /// Ends an evacuation: the worker accepts tasks again.
     void keepWorker(const std::string &worker);
-    /// While an order about a VM may be carried out, no incarnation of it is given work: one that
-    /// lists itself meanwhile would lose what it was given.
+    /// Assigns no tasks to any incarnation of a VM while an order about the VM may be carried out:
+    /// an incarnation that is listed meanwhile would lose its tasks to that order.
     void holdVm(const std::string &vm);
     void releaseVm(const std::string &vm);
-    /// True if a task that lasts runs there.
+    /// True if a lasting task runs on the worker.
     bool hasLastingRuns(const Worker &worker);
-    /// Work and room of each service with workers or jobs.
+    /// Demand and capacity of each service that has workers or jobs.
     std::map<std::string, ServiceLoad> loads(Instant now, UnixMilliseconds unixNow);
 
-    /// Core-seconds of the jobs that came to each service since the last call.
+    /// Core-seconds of the jobs added to each service since the last call.
     std::map<std::string, double> takeArrivals();
 
     std::vector<DecisionNote> takeNotes();
@@ -189,52 +198,53 @@
     const MechanismSet &mechanisms() const;
 
 private:
-    struct Place
+    struct Candidate
     {
         Worker *worker = nullptr;
         double score = 0;
     };
     struct Round;
 
-    /// What is known of the run times of a queue's work.
+    /// Run time models of a queue.
     struct QueueTimes
     {
-        EstimateModel task; ///< one task
-        EstimateModel step; ///< the longest task of a step
+        EstimateModel task; ///< of one task
+        EstimateModel step; ///< of the longest task of a step
     };
 
     void expectTimes(Job &job) const;
     void noteRunTime(Job &job, const ListedEnd &end, const Worker &worker, Instant now);
     void noteHealth(Worker &worker, const ListedEnd &end, Instant now);
-    void takeEnd(Worker &worker, const ListedEnd &end, Instant now);
-    void takeFormerEnd(Worker &worker, const ListedEnd &end, Instant now);
-    void noteStray(const std::string &job, Instant now);
-    void holdStrayEnd(Worker &worker, const ListedEnd &end, Instant now);
-    void attachStrays(Job &job);
-    void stopWhatIsOver(Job &job, const TaskId &id, jobs::EndEffect effect);
-    void takeRunning(Worker &worker, const ListedRun &listed, Instant askedAt, Instant now);
+    void applyEnd(Worker &worker, const ListedEnd &end, Instant now);
+    void applyFormerEnd(Worker &worker, const ListedEnd &end, Instant now);
+    void noteOrphan(const std::string &job, Instant now);
+    void holdOrphanEnd(Worker &worker, const ListedEnd &end, Instant now);
+    void attachOrphans(Job &job);
+    void stopObsoleteRuns(Job &job, const TaskId &id, jobs::EndEffect effect);
+    void applyRunning(Worker &worker, const ListedRun &listed, Instant askedAt, Instant now);
     void dropMissingRuns(Worker &worker, const WorkerReport &report, Instant askedAt, Instant now);
     void dropRun(Worker &worker, const RunKey &key, Instant now);
     void dropRunsOfIncarnation(Worker &worker, Instant now);
     void dropAllRuns(Worker &worker, Instant now);
     bool isPresentIncarnation(const WorkerListing &listing, Instant now);
-    bool isOnItsWay(const RunKey &key, Instant now);
-    void writeOffUnresponsive(Instant now);
+    bool isStartInFlight(const RunKey &key, Instant now);
+    void dropExpiredRuns(Instant now);
     void addLoad(ServiceLoad &load, Job &job, std::size_t occurrence, std::size_t step,
-                 bool canBeOnTime, Instant now, UnixMilliseconds unixNow);
-    bool isAtWork(const jobs::Run &run, Instant now) const;
-    bool mayTakeAway(Job &job, const TaskId &id, Instant now) const;
+                 bool canMeetObjective, Instant now, UnixMilliseconds unixNow);
+    bool isAvailable(const jobs::Run &run, Instant now) const;
+    bool canEvict(Job &job, const TaskId &id, Instant now) const;
     void stopRunsOf(Job &job, const std::string &reason);
     void markDirty(Job &job);
-    void settleEnds(Worker &worker);
-    bool isSettled(const std::string &service, Instant now) const;
-    /// Tasks of the job may run on a worker that has not told this leader of them yet.
-    bool mayRunUnseen(const Job &job) const;
+    void advanceRecordedEnds(Worker &worker);
+    bool isReconciled(const std::string &service, Instant now) const;
+    /// True if tasks of the job may run on a worker that has not reported to this leader yet.
+    bool canHaveUnreportedRuns(const Job &job) const;
     bool takesWork(const Worker &worker, Instant now) const;
     std::int64_t leaseTerm() const; ///< milliseconds, by a worker's clock
-    Instant leaseOverAt(const Worker &worker) const;
-    /// How long a lease may last by this clock, on a worker whose clock is slow.
-    Duration longestBy(Duration lease) const;
+    Instant leaseExpiry(const Worker &worker) const;
+    /// The longest time, by this leader's clock, that a lease may last on a worker whose clock runs
+    /// slow.
+    Duration maxLeaseDuration(Duration lease) const;
     std::string serviceOf(const Job &job) const;
     void planService(const std::string &service, std::vector<Job *> &queue, Round &round);
     void planStep(Job &job, std::size_t occurrence, std::size_t step, Round &round);
@@ -249,22 +259,22 @@
     std::int64_t runBase;
     Instant tookOverAt;
     Configuration config;
-    std::unordered_map<std::string, std::unique_ptr<Job>> jobs; // under way
-    std::unordered_map<std::string, JobState> finished; // recorded in the store
+    std::unordered_map<std::string, std::unique_ptr<Job>> jobs; // unfinished
+    std::unordered_map<std::string, JobState> finished; // final state is in the store
     std::map<std::string, Worker> workerTable;
-    std::set<std::string> dirty; // jobs whose row is behind
-    /// Jobs that are not known, of which workers list runs, with the ends that count.
-    std::map<std::string, std::vector<ListedEnd>> strays;
-    std::vector<StopOrder> wantedStops;
+    std::set<std::string> dirty; // jobs whose row in the store is out of date
+    /// Unknown jobs whose runs or ends workers have listed, each with the ends that are applied
+    /// once the job is known.
+    std::map<std::string, std::vector<ListedEnd>> orphans;
+    std::vector<StopOrder> requestedStops;
     std::map<std::string, QueueTimes> runTimes; // by queue
     std::map<std::string, double> arrivals; // core-seconds, by service
     std::vector<DecisionNote> notes;
     SchedulerCounts counters;
     bool allWorkersKnown = false;
-    std::map<std::string, std::string>
-        incarnations; // the worker that is the present incarnation of a VM
-    std::set<std::string> heldVms; // with an order that may be carried out
-    std::set<std::string> settledServices; // nothing unknown runs there any more
+    std::map<std::string, std::string> incarnations; // current worker of each VM
+    std::set<std::string> heldVms; // VMs with an open order
+    std::set<std::string> reconciledServices; // services without unreported runs
 };
 
 } // namespace sassafrasferry::scheduling
--- a/packages/scheduling/include/sassafrasferry/scheduling/worker.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/worker.h
@@ -1,5 +1,5 @@
-// A worker as the scheduling leader knows it: what it offers, what it runs, and how long what runs
-// there may live without another word from the leader.
+// The scheduling leader's state of a worker: its capacity, its runs, and how long these may
+// continue without another lease from the leader.
 #pragma once
 
 #include <sassafrasferry/jobs/job.h>
@@ -19,11 +19,11 @@
 using jobs::TaskId;
 using jobs::UnixMilliseconds;
 
-/// What a worker says of itself.
+/// A worker's own description, from its entry in the list of workers.
 struct WorkerListing
 {
     std::string id;
-    std::int64_t born = 0; ///< Unix milliseconds of its start; another value is another incarnation
+    std::int64_t born = 0; ///< start of this incarnation, Unix milliseconds
     model::Endpoint address;
     std::string vm; ///< the VM whose incarnation this worker is
     std::string service;
@@ -35,43 +35,44 @@
     bool draining = false;
 };
 
-/// A run that a worker lists.
+/// A run that a worker reports as running.
 struct ListedRun
 {
     TaskId task;
     std::int64_t run = 0;
     std::string checkpoint;
     std::int64_t percent = 0; ///< of its full share
-    std::int64_t load = 0; ///< tail in milliseconds if it serves, else millicores in use
+    /// Tail latency in milliseconds of a task that serves requests; otherwise millicores in use.
+    std::int64_t load = 0;
 };
 
-/// An end that a worker lists until it is acknowledged.
+/// The end of a run. A worker reports it until it is acknowledged.
 struct ListedEnd
 {
-    std::int64_t number = 0; ///< rises from 1 in each incarnation of the worker
+    std::int64_t number = 0; ///< counts from 1 in each incarnation of the worker
     TaskId task;
     std::int64_t run = 0;
     jobs::RunEnd end = jobs::RunEnd::Done;
     std::string checkpoint;
 };
 
-/// A worker's answer to a hold.
+/// A worker's answer to a hold, the call that renews its lease.
 struct WorkerReport
 {
     std::string worker;
-    std::int64_t born = 0; ///< 0: the answer did not say
-    std::int64_t clock = 0; ///< the worker's clock, milliseconds
+    std::int64_t born = 0; ///< incarnation; 0 if the answer did not name it
+    std::int64_t clock = 0; ///< reading of the worker's clock, milliseconds
     std::vector<ListedRun> running;
     std::vector<ListedEnd> ended;
 };
 
-/// What shows that an incarnation of a worker has ended.
+/// The evidence that an incarnation of a worker has ended.
 enum class EndEvidence {
-    Entry, ///< its entry, or that of another worker of its VM, tells of a later start
-    Report, ///< a report tells of a later start
-    OtherIncarnation, ///< another worker answers at its address
-    VmOrder, ///< an order of this leader about its VM was accepted
-    VmList, ///< the platform's list of VMs names another worker
+    Entry, ///< its entry, or that of another worker of its VM, has a later start time
+    Report, ///< a report has a later start time
+    OtherIncarnation, ///< another worker answered at its address
+    VmOrder, ///< an order from this leader to its VM was accepted
+    VmList, ///< the platform's list shows that it has left its VM or pool
 };
 
 constexpr auto enumNames(EndEvidence)
@@ -85,7 +86,7 @@
     };
 }
 
-/// Names a run on a worker.
+/// Identifies a run on a worker.
 struct RunKey
 {
     TaskId task;
@@ -94,61 +95,63 @@
     auto operator<=>(const RunKey &) const = default;
 };
 
-/// Which incarnation of a VM the platform says is the present one.
+/// The current incarnation of a VM according to the platform.
 struct VmIncarnation
 {
     std::string vm;
-    std::string pool; ///< where it is, or is on its way to
-    std::string worker; ///< the id of the incarnation; empty: none
-    bool isUp = true; ///< neither on its way nor under maintenance
+    std::string pool; ///< current pool, or the target pool during a move
+    std::string worker; ///< id of the incarnation; empty if there is none
+    bool isUp = true; ///< neither moving nor under maintenance
 };
 
-/// What the leader believes of a worker.
+/// The leader's view of a worker.
 struct Worker
 {
     WorkerListing listing;
-    bool listed = true; ///< in the platform's list
-    bool over = false; ///< this incarnation is known to have ended, and nothing need be asked of it
-    bool surveyed = false; ///< has answered this leader, in this incarnation
-    bool evacuating = false; ///< gets no more work, since it is to be moved or maintained
-    bool cordoned = false; ///< gets no more work, so that its VM becomes empty and can be moved
-    bool leavingSoon = false; ///< a wave waits for its VM: lasting tasks would have to move again
-    Instant lastAnswer{}; ///< of a hold
-    Instant backOffUntil{}; ///< it refused a start
-    Instant fullUntil{}; ///< it had no room for what seemed to fit
-    double failing = 0; ///< share of its last ends that were failures, the newest weighing most
-    std::int64_t clock = 0; ///< of the worker, as last heard
-    Instant clockAt{}; ///< when it was heard
-    /// Until when it may run, unseen, what was ordered before this leader or in an earlier
-    /// incarnation.
+    bool listed = true; ///< has an entry in the list of workers
+    bool over = false; ///< this incarnation has ended; no calls are sent to it any more
+    bool surveyed = false; ///< has reported to this leader in its current incarnation
+    bool evacuating = false; ///< gets no new tasks: its VM will be moved or maintained
+    bool cordoned = false; ///< gets no new tasks, so that its VM drains and can be moved
+    /// A maintenance wave waits for its VM, so lasting tasks placed here would have to move again.
+    bool leavingSoon = false;
+    Instant lastAnswer{}; ///< time of its last answer to a hold
+    Instant backOffUntil{}; ///< gets no starts until then, after refusals or failures
+    Instant fullUntil{}; ///< gets no starts until then, after a refusal for lack of room
+    double failureRate = 0; ///< exponentially weighted share of failures among its recent ends
+    std::int64_t clock = 0; ///< last reported reading of its clock, milliseconds
+    Instant clockReceivedAt{}; ///< time at which that reading arrived, by this leader's clock
+    /// Until when it may have unreported runs, started by an earlier leader or by a start that was
+    /// sent to an earlier incarnation.
     Instant inheritedUntil{};
-    /// Until when the present incarnation may run on a lease by the clock of the one before.
+    /// Until when the current incarnation may run on a lease that was computed from the clock of
+    /// the previous incarnation.
     Instant formerLeaseUntil{};
-    std::int64_t lastUntil = 0; ///< the latest end of a lease that was sent, by its clock
-    Resources used; ///< by the runs below
-    std::map<RunKey, Resources> runs; ///< each takes room until its end is listed
-    std::int64_t endsSeen = 0; ///< the highest number of an end that was taken in
-    std::int64_t endsRecorded = 0; ///< the highest whose effect is in the store
+    std::int64_t latestLeaseEnd = 0; ///< latest lease end sent, by the worker's clock, milliseconds
+    Resources used; ///< sum of `runs`
+    std::map<RunKey, Resources> runs; ///< each occupies room until its end is reported
+    std::int64_t endsSeen = 0; ///< highest number of an end that was processed
+    std::int64_t endsRecorded = 0; ///< highest number of an end whose effect is in the store
 
-    /// Ends taken in whose effect is not yet in the store, with the change of the job.
+    /// An applied end whose effect is not in the store yet.
     struct PendingEnd
     {
         std::int64_t number = 0;
         std::string job;
-        std::uint64_t change = 0;
-        Instant heldUntil{}; ///< kept for the job until then, if the job is not known
+        std::uint64_t change = 0; ///< change counter of the job that the store must reach
+        Instant heldUntil{}; ///< if the job is unknown: not acknowledged before then
     };
     std::deque<PendingEnd> pendingEnds;
 
     Resources room() const;
-    /// It may run tasks that this leader has not heard of: it has not answered in its present
-    /// incarnation, and what others ordered before may run until `inheritedUntil`.
-    bool mayRunUnseen(Instant now) const;
-    /// Known to run nothing, and all its ends are in the store: until then only the worker could
-    /// tell them to a new leader. Its VM can be moved or maintained.
+    /// True if it may run tasks that this leader does not know of: it has not reported in its
+    /// current incarnation, and earlier orders may be in effect until `inheritedUntil`.
+    bool canHaveUnreportedRuns(Instant now) const;
+    /// True if it is known to have no runs and all its ends are in the store, so that its VM can be
+    /// moved or maintained. Before that, a new leader could learn of the ends only from the worker.
     bool isEmpty(Instant now) const;
-    /// It has answered a hold within that time.
-    bool isHeard(Instant now, Duration within) const;
+    /// True if it answered a hold less than `within` ago.
+    bool hasAnsweredWithin(Instant now, Duration within) const;
 };
 
 } // namespace sassafrasferry::scheduling
--- a/packages/scheduling/src/stray_runs.cpp
+++ b/packages/scheduling/src/orphan_runs.cpp
@@ -1,5 +1,6 @@
-// Runs and ends of jobs that are not known yet: an earlier leader, which may order for a while
-// after it has lost the lease, has read a job that this leader reads later.
+// Orphans: runs and ends of jobs that this leader does not know yet. They come about because an
+// earlier leader, which may send orders for a while after it has lost the lease, has read a job
+// from the store before this leader does.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <algorithm>
@@ -8,11 +9,12 @@
 
 namespace {
 
-// An accepted job is read within less, unless the store is slow.
-constexpr auto strayWait = std::chrono::seconds(1);
+// How long the end of an unknown job stays unacknowledged. An accepted job is read from the store
+// sooner, unless the store is slow.
+constexpr auto orphanEndHold = std::chrono::seconds(1);
 
-// It has been asked to stop, so its task waits for its end.
-jobs::Run strayRun(const Worker &worker, std::int64_t number)
+// The run was already asked to stop; its task waits for the run's end.
+jobs::Run orphanRun(const Worker &worker, std::int64_t number)
 {
     jobs::Run run;
     run.worker = worker.listing.id;
@@ -26,8 +28,8 @@
     return run;
 }
 
-/// Enters in the job what a worker has listed of it.
-void attachStrayRuns(Job &job, Worker &worker)
+/// Adds the runs of a job that a worker has reported to the job.
+void attachOrphanRuns(Job &job, Worker &worker)
 {
     const RunKey first{{job.id, 0, 0, 0}, 0};
     for (auto at = worker.runs.lower_bound(first);
@@ -39,47 +41,47 @@
         worker.used -= at->second;
         at->second = job.spec.steps[key.task.step].footprint();
         worker.used += at->second;
-        task->runs.push_back(strayRun(worker, key.number));
+        task->runs.push_back(orphanRun(worker, key.number));
         task->lastRun = std::max(task->lastRun, key.number);
     }
 }
 
 } // namespace
 
-void Scheduler::noteStray(const std::string &job, Instant now)
+void Scheduler::noteOrphan(const std::string &job, Instant now)
 {
     if (this->finished.count(job) == 0 && now <= this->tookOverAt + this->times.inheritedLease)
-        this->strays[job];
+        this->orphans[job];
 }
 
-void Scheduler::holdStrayEnd(Worker &worker, const ListedEnd &end, Instant now)
+void Scheduler::holdOrphanEnd(Worker &worker, const ListedEnd &end, Instant now)
 {
     const auto &job = end.task.job;
-    this->noteStray(job, now);
-    const auto stray = this->strays.find(job);
-    const bool isStray = stray != this->strays.end();
+    this->noteOrphan(job, now);
+    const auto orphan = this->orphans.find(job);
+    const bool isOrphan = orphan != this->orphans.end();
     const bool counts = end.end == jobs::RunEnd::Done || end.end == jobs::RunEnd::Failed;
-    if (isStray && counts)
-        stray->second.push_back(end);
-    worker.pendingEnds.push_back({end.number, job, 0, isStray ? now + strayWait : Instant{}});
+    if (isOrphan && counts)
+        orphan->second.push_back(end);
+    worker.pendingEnds.push_back({end.number, job, 0, isOrphan ? now + orphanEndHold : Instant{}});
 }
 
-void Scheduler::attachStrays(Job &job)
+void Scheduler::attachOrphans(Job &job)
 {
-    const auto stray = this->strays.find(job.id);
-    if (stray == this->strays.end())
+    const auto orphan = this->orphans.find(job.id);
+    if (orphan == this->orphans.end())
         return;
-    for (const auto &end : stray->second) {
+    for (const auto &end : orphan->second) {
         if (job.noteEnd(end.task, end.run, end.end, "") != jobs::EndEffect::None)
             this->markDirty(job);
     }
-    this->strays.erase(stray);
+    this->orphans.erase(orphan);
     for (auto &entry : this->workerTable) {
         for (auto &end : entry.second.pendingEnds) {
             if (end.job == job.id)
                 end.change = job.changes;
         }
-        attachStrayRuns(job, entry.second);
+        attachOrphanRuns(job, entry.second);
     }
 }
 
--- a/packages/scheduling/src/queue.cpp
+++ b/packages/scheduling/src/queue.cpp
@@ -1,4 +1,4 @@
-// Look-ups in the configuration.
+// Lookups in the configuration.
 #include <sassafrasferry/scheduling/queue.h>
 
 namespace sassafrasferry::scheduling {
--- a/packages/scheduling/src/scheduler.cpp
+++ b/packages/scheduling/src/scheduler.cpp
@@ -1,4 +1,4 @@
-// Jobs of the scheduling leader: from the row of a job to the row of its end.
+// The scheduler's jobs, from acceptance until their final state is in the store.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <absl/strings/str_cat.h>
@@ -51,7 +51,7 @@
                     / 1000 * policy::seconds(Duration(job->expected(i).task));
     }
     this->arrivals[this->serviceOf(*job)] += work;
-    this->attachStrays(*job);
+    this->attachOrphans(*job);
     this->jobs.emplace(job->id, std::move(job));
 }
 
@@ -89,10 +89,10 @@
     if (at == this->jobs.end())
         return JobState::Unknown;
     const auto &job = *at->second;
-    // An end that is not in the store yet could be unknown to the next leader. A cancellation was
-    // in the store before this leader heard of it.
-    const bool isTold = job.recordedChanges >= job.changes || job.state == JobState::Cancelled;
-    if (jobs::isFinal(job.state) && !isTold)
+    // A final state that is not in the store yet could be lost to the next leader, so callers don't
+    // see it. A cancellation is in the store before this leader learns of it.
+    const bool isRecorded = job.recordedChanges >= job.changes || job.state == JobState::Cancelled;
+    if (jobs::isFinal(job.state) && !isRecorded)
         return JobState::Running;
     return job.state;
 }
@@ -135,16 +135,16 @@
     if (!job)
         return;
     job->recordedChanges = std::max(job->recordedChanges, row.changes);
-    const bool isOver = jobs::isFinal(job->state) && job->recordedChanges >= job->changes;
-    if (isOver)
+    const bool isEndRecorded = jobs::isFinal(job->state) && job->recordedChanges >= job->changes;
+    if (isEndRecorded)
         this->note("job-end", job->id,
                    absl::StrCat("state=", std::string(model::nameOf(job->state))));
-    if (isOver && !job->hasRuns()) {
+    if (isEndRecorded && !job->hasRuns()) {
         this->finished[job->id] = job->state;
         this->jobs.erase(job->id);
     }
     for (auto &entry : this->workerTable)
-        this->settleEnds(entry.second);
+        this->advanceRecordedEnds(entry.second);
 }
 
 void Scheduler::stopRunsOf(Job &job, const std::string &reason)
@@ -162,7 +162,7 @@
 
 void Scheduler::requestStop(const std::string &worker, const RunKey &run, std::string reason)
 {
-    this->wantedStops.push_back({worker, run.task, run.number, std::move(reason)});
+    this->requestedStops.push_back({worker, run.task, run.number, std::move(reason)});
 }
 
 void Scheduler::note(std::string event, std::string subject, std::string detail)
--- a/packages/scheduling/src/scheduler_answers.cpp
+++ b/packages/scheduling/src/scheduler_answers.cpp
@@ -1,4 +1,4 @@
-// What the answers of workers to starts and stops lead to.
+// Applies the answers of workers to starts and stops.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <absl/strings/str_cat.h>
@@ -50,7 +50,7 @@
         worker->backOffUntil = now + this->times.healthBackOff;
         break;
     case OrderAnswer::Superseded:
-        // A higher number has ended there; one well above all of this leader's follows.
+        // A run with a higher number has ended there. The next attempt skips well ahead of it.
         if (task)
             task->lastRun += 100;
         break;
--- a/packages/scheduling/src/scheduler_fleet.cpp
+++ b/packages/scheduling/src/scheduler_fleet.cpp
@@ -1,42 +1,43 @@
-// The scheduler's part in moves and maintenance: emptying workers, and how loaded services are.
+// The scheduler's interface to fleet planning: evacuation of workers, and the load of services.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <algorithm>
 
 namespace sassafrasferry::scheduling {
 
-// A task that was taken away, or that is just starting, is away; so is one that the worker does not
-// report at its full share, or has just begun to: the report rounds up. A worker that went dark
-// would else seem to hold its tasks at work until its lease has ended. Counting more as away than
-// the platform does errs on the safe side.
-bool Scheduler::isAtWork(const jobs::Run &run, Instant now) const
+// A task counts as unavailable while it is stopping or starting, while its worker does not report
+// it at its full share, and shortly after it first does, since the reported percentage is rounded
+// up. A recent report is required, because otherwise the tasks of a silent worker would count as
+// available until its lease expired. Counting more tasks as unavailable than the platform does is
+// the safe side.
+bool Scheduler::isAvailable(const jobs::Run &run, Instant now) const
 {
     const auto worker = this->workerTable.find(run.worker);
-    const bool isHeard =
-        worker != this->workerTable.end() && worker->second.isHeard(now, this->times.reportAge);
-    return isHeard && run.state == jobs::RunState::Confirmed && run.atWorkSince < now
-           && now - run.atWorkSince > this->times.settling;
+    const bool hasRecentReport = worker != this->workerTable.end()
+                                 && worker->second.hasAnsweredWithin(now, this->times.maxReportAge);
+    return hasRecentReport && run.state == jobs::RunState::Confirmed && run.atWorkSince < now
+           && now - run.atWorkSince > this->times.minReadyTime;
 }
 
-bool Scheduler::mayTakeAway(Job &job, const TaskId &id, Instant now) const
+bool Scheduler::canEvict(Job &job, const TaskId &id, Instant now) const
 {
     const auto &step = job.spec.steps[id.step];
     if (step.maxUnavailable == 0)
         return true;
-    std::size_t away = 0;
+    std::size_t unavailable = 0;
     for (std::size_t i = 0; i < step.count; ++i) {
         if (i == id.index)
             continue;
         const auto &runs = job.at(id.occurrence, id.step, i).runs;
-        const bool isHere = std::any_of(runs.begin(), runs.end(), [&](const jobs::Run &run) {
-            return this->isAtWork(run, now);
-        });
-        away += isHere ? 0 : 1;
+        const bool hasAvailableRun =
+            std::any_of(runs.begin(), runs.end(),
+                        [&](const jobs::Run &run) { return this->isAvailable(run, now); });
+        unavailable += hasAvailableRun ? 0 : 1;
     }
-    return away < step.maxUnavailable;
+    return unavailable < step.maxUnavailable;
 }
 
-bool Scheduler::evacuate(const std::string &id, bool hurry, Instant now)
+bool Scheduler::evacuate(const std::string &id, bool force, Instant now)
 {
     auto *worker = this->findWorker(id);
     if (!worker)
@@ -53,9 +54,9 @@
             if (!isHere || run.state != jobs::RunState::Confirmed)
                 continue;
             const auto &step = job->spec.steps[key.task.step];
-            const bool mayStop = step.lasting ? this->mayTakeAway(*job, key.task, now)
-                                              : (step.checkpointing || hurry);
-            if (!mayStop)
+            const bool canStop =
+                step.lasting ? this->canEvict(*job, key.task, now) : (step.checkpointing || force);
+            if (!canStop)
                 continue;
             run.state = jobs::RunState::Stopping;
             run.stopAskedAt = now;
@@ -108,17 +109,17 @@
             continue;
         auto &load = loads[this->serviceOf(job)];
         ++load.jobs;
-        const bool canBeOnTime = now + job.chainLeft() <= job.objective();
+        const bool canMeetObjective = now + job.chainLeft() <= job.objective();
         for (std::size_t occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
             for (std::size_t step = 0; step < job.spec.steps.size(); ++step)
-                this->addLoad(load, job, occurrence, step, canBeOnTime, now, unixNow);
+                this->addLoad(load, job, occurrence, step, canMeetObjective, now, unixNow);
         }
     }
     return loads;
 }
 
 void Scheduler::addLoad(ServiceLoad &load, Job &job, std::size_t occurrence, std::size_t step,
-                        bool canBeOnTime, Instant now, UnixMilliseconds unixNow)
+                        bool canMeetObjective, Instant now, UnixMilliseconds unixNow)
 {
     const auto &spec = job.spec.steps[step];
     if (job.tasksLeft(occurrence, step) == 0)
@@ -129,22 +130,22 @@
     const auto need = spec.footprint();
     const auto coreSeconds =
         static_cast<double>(need.cpu) / 1000 * policy::seconds(Duration(job.expected(step).task));
-    const bool mayRunUnseen = this->mayRunUnseen(job) && isOpen;
+    const bool canHaveUnreportedRuns = this->canHaveUnreportedRuns(job) && isOpen;
     for (std::size_t i = 0; i < spec.count; ++i) {
         const auto &task = job.at(occurrence, step, i);
         if (task.done)
             continue;
-        if (!task.runs.empty() || mayRunUnseen) {
+        if (!task.runs.empty() || canHaveUnreportedRuns) {
             (spec.lasting ? load.lasting : load.running) += need;
-            if (!spec.lasting && !canBeOnTime)
+            if (!spec.lasting && !canMeetObjective)
                 load.lateRunning += need;
         } else if (!isOpen) {
             load.laterSeconds += coreSeconds;
         } else {
             load.ready += need;
-            load.starves |= spec.lasting && now - task.idleSince > this->times.starvation;
+            load.starves |= spec.lasting && now - task.idleSince > this->times.starvationTime;
             load.readySeconds += coreSeconds;
-            load.onTimeSeconds += canBeOnTime ? coreSeconds : 0;
+            load.onTimeSeconds += canMeetObjective ? coreSeconds : 0;
         }
     }
 }
--- a/packages/scheduling/src/scheduler_plan.cpp
+++ b/packages/scheduling/src/scheduler_plan.cpp
@@ -1,4 +1,4 @@
-// Which task starts where: the order of jobs, and the choice of a worker.
+// Task placement: ranks the jobs of a service and chooses a worker for each task.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <algorithm>
@@ -9,21 +9,21 @@
 
 namespace {
 
-// Weights of the choice of a worker. Each outweighs all below it.
+// Weights in the score of a worker, in descending order: each outweighs those below it.
 constexpr double failedWeight = 5000;
 constexpr double dataRackWeight = 1000;
 constexpr double gangRackWeight = 500;
 constexpr double spreadVmWeight = 200;
 constexpr double spreadRackWeight = 50;
-constexpr double soonWeight = 30;
+constexpr double maintenanceWeight = 30;
 constexpr double fitWeight = 10;
-// Workers kept free, a round, for tasks that come first and found no room.
-constexpr std::size_t mostReserved = 2;
+// Most workers reserved per round for higher-ranked tasks that found no room.
+constexpr std::size_t maxReserved = 2;
 
-/// Where a job stands in its service's line: the smaller one is served first.
+/// Scheduling order of the jobs of a service: lower ranks are placed first.
 struct Rank
 {
-    bool cannotBeOnTime = false; ///< can't be on time any more, and so pushes nobody out
+    bool missesObjective = false; ///< ranks behind all jobs that can still meet their objective
     std::int64_t priority = 0;
     Instant objective{};
 
@@ -63,10 +63,10 @@
     Instant now;
     UnixMilliseconds unixNow = 0;
     Orders orders;
-    std::vector<Worker *> workers; // of the service at hand, that take work
-    std::set<const Worker *> reserved; // for tasks that came first and found no room
-    /// Needs that found no room: room only shrinks in a round, so a need as large finds none
-    /// either.
+    std::vector<Worker *> workers; // workers of the current service that accept tasks
+    std::set<const Worker *> reserved; // kept free for higher-ranked tasks that found no room
+    /// Resource needs that found no room. Room only shrinks during a round, so no need of at least
+    /// this size fits either.
     std::vector<Resources> refused;
 
     bool wasRefused(const Resources &need) const
@@ -80,32 +80,32 @@
 {
     return worker.listed && worker.surveyed && !worker.listing.draining && !worker.evacuating
            && !worker.cordoned && this->heldVms.count(worker.listing.vm) == 0
-           && worker.isHeard(now, this->times.silence) && now >= worker.backOffUntil
+           && worker.hasAnsweredWithin(now, this->times.answerTimeout) && now >= worker.backOffUntil
            && now >= worker.fullUntil;
 }
 
-bool Scheduler::isSettled(const std::string &service, Instant now) const
+bool Scheduler::isReconciled(const std::string &service, Instant now) const
 {
-    if (this->settledServices.count(service) != 0)
+    if (this->reconciledServices.count(service) != 0)
         return true;
     if (now > this->tookOverAt + this->times.inheritedLease)
         return true;
     const auto isKnown = [&](const auto &entry) {
         const auto &worker = entry.second;
-        return worker.listing.service != service || !worker.mayRunUnseen(now);
+        return worker.listing.service != service || !worker.canHaveUnreportedRuns(now);
     };
     return this->allWorkersKnown
            && std::all_of(this->workerTable.begin(), this->workerTable.end(), isKnown);
 }
 
-bool Scheduler::mayRunUnseen(const Job &job) const
+bool Scheduler::canHaveUnreportedRuns(const Job &job) const
 {
-    return job.inherited && this->settledServices.count(this->serviceOf(job)) == 0;
+    return job.inherited && this->reconciledServices.count(this->serviceOf(job)) == 0;
 }
 
 Orders Scheduler::plan(Instant now, UnixMilliseconds unixNow)
 {
-    this->writeOffUnresponsive(now);
+    this->dropExpiredRuns(now);
     Round round{now, unixNow, {}, {}, {}, {}};
     std::map<std::string, std::vector<Job *>> queues;
     for (auto &entry : this->jobs) {
@@ -113,11 +113,11 @@
             queues[this->serviceOf(*entry.second)].push_back(entry.second.get());
     }
     for (auto &entry : queues) {
-        if (this->isSettled(entry.first, now))
-            this->settledServices.insert(entry.first);
+        if (this->isReconciled(entry.first, now))
+            this->reconciledServices.insert(entry.first);
         this->planService(entry.first, entry.second, round);
     }
-    for (auto &stop : std::exchange(this->wantedStops, {})) {
+    for (auto &stop : std::exchange(this->requestedStops, {})) {
         auto *job = this->findJob(stop.task.job);
         auto *task = job ? job->find(stop.task) : nullptr;
         if (task) {
@@ -153,14 +153,14 @@
         Rank rank;
         Job *job;
     };
-    std::vector<Ranked> line;
-    line.reserve(queue.size());
+    std::vector<Ranked> rankedJobs;
+    rankedJobs.reserve(queue.size());
     const bool isLateLast = this->mechanisms().has(Mechanism::LateLast);
     for (auto *job : queue)
-        line.push_back({rankOf(*job, round.now, isLateLast), job});
-    std::stable_sort(line.begin(), line.end(),
+        rankedJobs.push_back({rankOf(*job, round.now, isLateLast), job});
+    std::stable_sort(rankedJobs.begin(), rankedJobs.end(),
                      [](const Ranked &a, const Ranked &b) { return a.rank < b.rank; });
-    for (const auto &ranked : line) {
+    for (const auto &ranked : rankedJobs) {
         auto &job = *ranked.job;
         for (std::size_t occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
             for (std::size_t step = 0; step < job.spec.steps.size(); ++step) {
@@ -179,7 +179,7 @@
 void Scheduler::planStep(Job &job, std::size_t occurrence, std::size_t step, Round &round)
 {
     const auto &spec = job.spec.steps[step];
-    if (this->mayRunUnseen(job))
+    if (this->canHaveUnreportedRuns(job))
         return;
     for (std::size_t i = 0; i < spec.count; ++i) {
         auto &task = job.at(occurrence, step, i);
@@ -187,9 +187,10 @@
             continue;
         auto *worker = this->choose(job, task, occurrence, step, round);
         if (!worker) {
-            // Kept free, or small tasks of later jobs would take each bit of room that ends here.
+            // Reserve a worker; otherwise small tasks of lower-ranked jobs would take all room as
+            // it becomes free.
             const bool reserves = this->mechanisms().has(Mechanism::Reservation);
-            if (reserves && round.reserved.size() < mostReserved && spec.lasting) {
+            if (reserves && round.reserved.size() < maxReserved && spec.lasting) {
                 const auto best = std::max_element(
                     round.workers.begin(), round.workers.end(),
                     [&](const Worker *a, const Worker *b) {
@@ -207,7 +208,7 @@
 void Scheduler::planGang(Job &job, std::size_t occurrence, std::size_t step, Round &round)
 {
     const auto &spec = job.spec.steps[step];
-    if (this->mayRunUnseen(job))
+    if (this->canHaveUnreportedRuns(job))
         return;
     std::int64_t number = this->runBase + 1;
     for (std::size_t i = 0; i < spec.count; ++i) {
@@ -216,13 +217,13 @@
             return;
         number = std::max(number, task.lastRun + 1);
     }
-    // All or none: members that wait for one without room would hold theirs for nothing.
-    struct Taken
+    // All or none: members waiting for one that found no room would occupy theirs without working.
+    struct Reservation
     {
         Worker *worker;
         RunKey key;
     };
-    std::vector<Taken> taken;
+    std::vector<Reservation> reservations;
     const auto need = spec.footprint();
     for (std::size_t i = 0; i < spec.count; ++i) {
         auto *worker = this->choose(job, job.at(occurrence, step, i), occurrence, step, round);
@@ -231,15 +232,15 @@
         const RunKey key{{job.id, occurrence, step, i}, number};
         worker->runs[key] = need;
         worker->used += need;
-        taken.push_back({worker, key});
+        reservations.push_back({worker, key});
     }
-    for (const auto &member : taken) {
+    for (const auto &member : reservations) {
         member.worker->runs.erase(member.key);
         member.worker->used -= need;
     }
-    if (taken.size() < spec.count)
+    if (reservations.size() < spec.count)
         return;
-    for (const auto &member : taken) {
+    for (const auto &member : reservations) {
         job.at(occurrence, step, member.key.task.index).lastRun = number - 1;
         this->start(job, member.key.task, *member.worker, round);
     }
@@ -252,15 +253,15 @@
     const auto need = spec.footprint();
     if (!spec.lasting && round.wasRefused(need))
         return nullptr;
-    const TaskId any{job.id, occurrence, step, 0};
+    const TaskId firstTask{job.id, occurrence, step, 0};
     std::map<std::string, std::size_t> onRack;
     if (spec.lasting || spec.sameRack) {
         for (const auto *worker : round.workers)
-            onRack[worker->listing.rack] += runsOfStep(*worker, any);
+            onRack[worker->listing.rack] += runsOfStep(*worker, firstTask);
     }
     const auto fit = this->mechanisms().has(Mechanism::BestFit) ? fitWeight : -fitWeight;
     const auto spread = this->mechanisms().has(Mechanism::RackSpread) ? spreadRackWeight : 0;
-    Place best;
+    Candidate best;
     for (auto *worker : round.workers) {
         if (round.reserved.count(worker) != 0 && !spec.lasting)
             continue;
@@ -272,31 +273,32 @@
         if (!spec.requiredLabel.empty()
             && std::find(labels.begin(), labels.end(), spec.requiredLabel) == labels.end())
             continue;
-        const bool counts = spec.perVmLimit > 0 || spec.lasting;
-        const auto here = counts ? runsOfStep(*worker, any) : 0;
-        if (spec.perVmLimit > 0 && here >= spec.perVmLimit)
+        const bool needsCount = spec.perVmLimit > 0 || spec.lasting;
+        const auto runsHere = needsCount ? runsOfStep(*worker, firstTask) : 0;
+        if (spec.perVmLimit > 0 && runsHere >= spec.perVmLimit)
             continue;
         double score = fit * (1 - cpuShare(room, listing.capacity));
         if (!spec.dataRack.empty() && listing.rack == spec.dataRack)
             score += dataRackWeight;
         if (spec.sameRack)
             score += gangRackWeight * static_cast<double>(onRack[listing.rack] > 0);
-        // Lasting tasks apart: one rack or worker lost must not take a whole step away. Those of
-        // several jobs together: a VM with one on it can't be moved.
+        // Spread the lasting tasks of a step, so that the loss of a rack or worker does not stop
+        // all of them. Pack those of different jobs, since a VM with a lasting task can't be moved.
         if (spec.lasting)
             score = fit * (1 - cpuShare(room, listing.capacity))
-                    - soonWeight * static_cast<double>(worker->leavingSoon)
-                    - spreadVmWeight * static_cast<double>(here)
+                    - maintenanceWeight * static_cast<double>(worker->leavingSoon)
+                    - spreadVmWeight * static_cast<double>(runsHere)
                     - spread * static_cast<double>(onRack[listing.rack]);
-        // A worker that fails all it starts would use up the attempts of a sound task.
+        // A faulty worker that fails every run would use up all attempts of a task.
         const auto &failedOn = task.failedOn;
         if (std::find(failedOn.begin(), failedOn.end(), listing.id) != failedOn.end())
             score -= failedWeight;
         if (!best.worker || score > best.score)
             best = {worker, score};
     }
-    const bool isPlain = !spec.lasting && spec.requiredLabel.empty() && spec.perVmLimit == 0;
-    if (!best.worker && isPlain)
+    const bool isUnconstrained =
+        !spec.lasting && spec.requiredLabel.empty() && spec.perVmLimit == 0;
+    if (!best.worker && isUnconstrained)
         round.refused.push_back(need);
     return best.worker;
 }
--- a/packages/scheduling/src/scheduler_reports.cpp
+++ b/packages/scheduling/src/scheduler_reports.cpp
@@ -1,4 +1,4 @@
-// What workers say, and what follows from their silence.
+// Applies the reports of workers to jobs and runs.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 namespace {
 
-// A worker lists this many ends at once; a list that is full may lack the end of a run.
-constexpr std::size_t mostListedEnds = 500;
-// A stop without an answer is sent again after this.
+// Maximum number of ends in one report. A full list may lack the end of a run that has ended.
+constexpr std::size_t maxListedEnds = 500;
+// Interval between repeats of a stop whose run has not ended.
 constexpr auto stopRetry = std::chrono::milliseconds(700);
 
 jobs::Run *findRun(jobs::Task &task, const std::string &worker, std::int64_t number)
@@ -23,8 +23,8 @@
     return nullptr;
 }
 
-/// A run that is to be stopped takes room until its end is listed.
-void takeRoom(Worker &worker, const RunKey &run, const Resources &need)
+/// Reserves room for a run that will be stopped, until its end is reported.
+void reserveRoom(Worker &worker, const RunKey &run, const Resources &need)
 {
     if (worker.runs.emplace(run, need).second)
         worker.used += need;
@@ -32,9 +32,9 @@
 
 } // namespace
 
-// Only what a report has listed is known to have been in the incarnation that ended. Any other
-// start may have reached the next one, or may yet, so its task waits for a report of that one. What
-// the former incarnation answered to a stop does not bind the next.
+// Only runs that a report has listed are known to have been in the incarnation that ended. Any
+// other start may have reached the next incarnation or may still do so, so its task waits for a
+// report from that one. A stop that the previous incarnation answered has no effect on the next.
 void Scheduler::dropRunsOfIncarnation(Worker &worker, Instant now)
 {
     std::vector<RunKey> gone;
@@ -93,47 +93,48 @@
     const bool isFormer = report.born != 0 && report.born < worker.listing.born;
     if (worker.over || isFormer) {
         for (const auto &end : report.ended)
-            this->takeFormerEnd(worker, end, now);
+            this->applyFormerEnd(worker, end, now);
         return;
     }
     if (report.born != 0 && report.born != worker.listing.born) {
         this->incarnationEnded(report.worker, EndEvidence::Report, now);
         worker.listing.born = report.born;
     }
-    // What others granted before this leader's fence was heard there may last for a whole lease.
+    // A lease that an earlier leader granted before the worker learned of this one may last for a
+    // full lease term.
     if (!worker.surveyed)
-        worker.lastUntil = std::max(worker.lastUntil, report.clock + this->leaseTerm());
+        worker.latestLeaseEnd = std::max(worker.latestLeaseEnd, report.clock + this->leaseTerm());
     worker.clock = report.clock;
-    worker.clockAt = now;
+    worker.clockReceivedAt = now;
     worker.lastAnswer = now;
     worker.surveyed = true;
     for (const auto &end : report.ended)
-        this->takeEnd(worker, end, now);
+        this->applyEnd(worker, end, now);
     for (const auto &listed : report.running)
-        this->takeRunning(worker, listed, askedAt, now);
-    if (report.ended.size() < mostListedEnds)
+        this->applyRunning(worker, listed, askedAt, now);
+    if (report.ended.size() < maxListedEnds)
         this->dropMissingRuns(worker, report, askedAt, now);
-    this->settleEnds(worker);
+    this->advanceRecordedEnds(worker);
 }
 
-// A worker may fail whatever it starts and look sound otherwise. Its failures are compared with its
-// own ends only: a job that can't be done fails on every worker, and fails on each of them once.
+// A worker may fail every run and still report itself healthy. Its failures are compared only with
+// its own ends: a job that can't succeed fails on every worker, but only once on each.
 void Scheduler::noteHealth(Worker &worker, const ListedEnd &end, Instant now)
 {
-    constexpr double newest = 0.3;
-    constexpr double most = 0.6;
+    constexpr double newestWeight = 0.3;
+    constexpr double maxFailureRate = 0.6;
     const bool failed = end.end == jobs::RunEnd::Failed;
     if (!failed && end.end != jobs::RunEnd::Done)
         return;
-    worker.failing = worker.failing * (1 - newest) + (failed ? newest : 0);
-    if (worker.failing < most || !this->mechanisms().has(Mechanism::FailingBackOff))
+    worker.failureRate = worker.failureRate * (1 - newestWeight) + (failed ? newestWeight : 0);
+    if (worker.failureRate < maxFailureRate || !this->mechanisms().has(Mechanism::FailingBackOff))
         return;
     worker.backOffUntil = now + this->times.failingBackOff;
-    worker.failing = most / 2;
+    worker.failureRate = maxFailureRate / 2;
     this->note("worker-failing", worker.listing.id, "");
 }
 
-// Runs that go on from a checkpoint tell nothing about whole ones.
+// Runs that resume from a checkpoint are left out: they say nothing about the time of a full run.
 void Scheduler::noteRunTime(Job &job, const ListedEnd &end, const Worker &worker, Instant now)
 {
     auto *task = job.find(end.task);
@@ -150,14 +151,14 @@
         models.step.observe(step.estimate, longest);
 }
 
-void Scheduler::takeEnd(Worker &worker, const ListedEnd &end, Instant now)
+void Scheduler::applyEnd(Worker &worker, const ListedEnd &end, Instant now)
 {
     if (end.number <= worker.endsSeen)
         return;
     worker.endsSeen = end.number;
     auto *job = this->findJob(end.task.job);
     if (!job) {
-        this->holdStrayEnd(worker, end, now);
+        this->holdOrphanEnd(worker, end, now);
         this->dropRun(worker, {end.task, end.run}, now);
         return;
     }
@@ -192,11 +193,11 @@
     this->dropRun(worker, {end.task, end.run}, now);
     job = this->findJob(end.task.job);
     if (job)
-        this->stopWhatIsOver(*job, end.task, effect);
+        this->stopObsoleteRuns(*job, end.task, effect);
 }
 
-// Copies of a task that is done, and all that is left of a job that is over.
-void Scheduler::stopWhatIsOver(Job &job, const TaskId &id, jobs::EndEffect effect)
+// Stops other runs of a task that is done, and all runs of a job that has reached a final state.
+void Scheduler::stopObsoleteRuns(Job &job, const TaskId &id, jobs::EndEffect effect)
 {
     const auto *task = job.find(id);
     if (task && task->done) {
@@ -207,9 +208,10 @@
         this->stopRunsOf(job, "job over");
 }
 
-// An answer that is read after its worker's incarnation has ended. That a run was done or failed
-// stays true; its number is not one of the present incarnation's.
-void Scheduler::takeFormerEnd(Worker &worker, const ListedEnd &end, Instant now)
+// Applies an end from a report that was read after the worker's incarnation had ended. That a run
+// was done or failed still holds, but the number of the end does not belong to the current
+// incarnation's sequence.
+void Scheduler::applyFormerEnd(Worker &worker, const ListedEnd &end, Instant now)
 {
     auto *job = this->findJob(end.task.job);
     if (!job || (end.end != jobs::RunEnd::Done && end.end != jobs::RunEnd::Failed))
@@ -222,23 +224,23 @@
                             " how=", std::string(model::nameOf(end.end))));
     this->markDirty(*job);
     this->dropRun(worker, {end.task, end.run}, now);
-    this->stopWhatIsOver(*job, end.task, effect);
+    this->stopObsoleteRuns(*job, end.task, effect);
 }
 
-void Scheduler::takeRunning(Worker &worker, const ListedRun &listed, Instant askedAt, Instant now)
+void Scheduler::applyRunning(Worker &worker, const ListedRun &listed, Instant askedAt, Instant now)
 {
     auto *job = this->findJob(listed.task.job);
     auto *task = job ? job->find(listed.task) : nullptr;
     const RunKey key{listed.task, listed.run};
     if (!job)
-        this->noteStray(listed.task.job, now);
+        this->noteOrphan(listed.task.job, now);
     if (!task || task->done || jobs::isFinal(job->state)) {
         auto *run = task ? findRun(*task, worker.listing.id, listed.run) : nullptr;
         if (!run || now - run->stopAskedAt > stopRetry)
             this->requestStop(worker.listing.id, key, "not wanted");
         if (!run)
-            takeRoom(worker, key,
-                     task ? job->spec.steps[listed.task.step].footprint() : Resources{});
+            reserveRoom(worker, key,
+                        task ? job->spec.steps[listed.task.step].footprint() : Resources{});
         return;
     }
     auto *run = findRun(*task, worker.listing.id, listed.run);
@@ -246,7 +248,7 @@
         this->note("second-run", jobs::toString(listed.task),
                    absl::StrCat("worker=", worker.listing.id, " run=", listed.run));
         this->requestStop(worker.listing.id, key, "second run");
-        takeRoom(worker, key, job->spec.steps[listed.task.step].footprint());
+        reserveRoom(worker, key, job->spec.steps[listed.task.step].footprint());
         return;
     }
     if (!run) {
@@ -301,12 +303,12 @@
             gone.push_back(entry.first);
             continue;
         }
-        // A start without an answer may still be carried out. A stop that the worker has answered
-        // rules that out, so the task waits for that.
+        // An unanswered start may still be carried out. An answered stop rules that out, so the
+        // task waits for such an answer.
         const bool isOpen =
             run->state == jobs::RunState::Unanswered
             || (run->state == jobs::RunState::Ordered
-                && now - run->orderedAt > this->times.longestOrder)
+                && now - run->orderedAt > this->times.orderTimeout)
             || (run->state == jobs::RunState::Stopping && now - run->stopAskedAt > stopRetry);
         if (isOpen && run->orderedAt < askedAt)
             this->requestStop(worker.listing.id, entry.first, "unanswered start");
@@ -318,7 +320,7 @@
     }
 }
 
-void Scheduler::settleEnds(Worker &worker)
+void Scheduler::advanceRecordedEnds(Worker &worker)
 {
     while (!worker.pendingEnds.empty()) {
         const auto &end = worker.pendingEnds.front();
--- a/packages/scheduling/src/scheduler_workers.cpp
+++ b/packages/scheduling/src/scheduler_workers.cpp
@@ -1,4 +1,4 @@
-// Workers as they list themselves: their incarnations, their leases, and which of them are gone.
+// The scheduler's table of workers: their entries, incarnations and leases, and their removal.
 #include <sassafrasferry/scheduling/scheduler.h>
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace sassafrasferry::scheduling {
 
-// A VM is one worker at a time. An entry of an earlier incarnation may still stand, or come late;
-// taken for the present one, its VM would seem to run nothing.
+// A VM has one current worker at a time. The entry of an earlier incarnation may still be listed or
+// arrive late; if it were taken for the current one, the VM would appear to run nothing.
 bool Scheduler::isPresentIncarnation(const WorkerListing &listing, Instant now)
 {
     if (listing.vm.empty())
@@ -36,8 +36,9 @@
     if (listing.born != worker.listing.born && worker.listing.born != 0)
         this->incarnationEnded(listing.id, EndEvidence::Entry, now);
     const bool isNew = worker.listing.born == 0;
-    // An incarnation that began after the takeover runs nothing of earlier leaders; but clocks
-    // differ, so only an incarnation that is new to this leader's list counts as such.
+    // An incarnation that started after the takeover has no runs of earlier leaders. Clocks differ,
+    // so start times can't show this; it holds for incarnations first listed after all workers were
+    // known.
     if (isNew && worker.inheritedUntil == Instant{})
         worker.inheritedUntil =
             this->allWorkersKnown ? now : this->tookOverAt + this->times.inheritedLease;
@@ -80,8 +81,9 @@
         || listedBefore.count(at->second) == 0)
         return;
     const auto *worker = this->findWorker(at->second);
-    // While a VM returns to its own pool, its next incarnation may list itself before the platform
-    // does; and one without an incarnation may have one that the platform does not hear.
+    // While a VM returns to its pool, its next incarnation may be listed before the platform knows
+    // of it. A VM without an incarnation on the platform's list may have one that the platform
+    // can't reach.
     const bool hasAnother = present.isUp && !present.worker.empty();
     const bool hasLeft = worker && (hasAnother || worker->listing.service != present.pool);
     if (!hasLeft || worker->over)
@@ -110,24 +112,24 @@
     if (at == this->workerTable.end() || at->second.over)
         return;
     auto &worker = at->second;
-    // Another worker has the address: no call can have reached a next incarnation of this one.
-    const bool isGone = evidence == EndEvidence::OtherIncarnation;
-    if (!isGone || worker.surveyed || !worker.runs.empty())
+    // Another worker has the address, so no call can have reached a next incarnation of this one.
+    const bool isAddressReused = evidence == EndEvidence::OtherIncarnation;
+    if (!isAddressReused || worker.surveyed || !worker.runs.empty())
         this->noteEnded(worker, evidence);
-    if (isGone) {
+    if (isAddressReused) {
         worker.inheritedUntil = now;
         this->dropAllRuns(worker, now);
     } else {
-        // Calls that were sent before this may have reached the next incarnation. Its clock has
-        // begun anew, so the end of a lease by the former clock is far ahead, and the worker cuts
-        // it to the longest that it grants.
-        worker.formerLeaseUntil = now + this->longestBy(this->times.longestLease);
-        worker.inheritedUntil = std::max(this->leaseOverAt(worker), worker.formerLeaseUntil);
+        // Calls sent earlier may have reached the next incarnation. Its clock has restarted, so a
+        // lease end computed from the previous clock lies far ahead, and the worker limits it to
+        // the longest lease that it accepts.
+        worker.formerLeaseUntil = now + this->maxLeaseDuration(this->times.longestLease);
+        worker.inheritedUntil = std::max(this->leaseExpiry(worker), worker.formerLeaseUntil);
         this->dropRunsOfIncarnation(worker, now);
     }
     worker.surveyed = false;
     worker.clock = 0;
-    worker.lastUntil = 0;
+    worker.latestLeaseEnd = 0;
     worker.endsSeen = 0;
     worker.endsRecorded = 0;
     worker.pendingEnds.clear();
@@ -138,10 +140,10 @@
     auto *worker = this->findWorker(id);
     if (!worker || worker->over)
         return;
-    const auto leaseOver = this->leaseOverAt(*worker);
+    const auto leaseEnd = this->leaseExpiry(*worker);
     this->incarnationEnded(id, evidence, now);
-    worker->inheritedUntil = leaseOver;
-    // Calls name the worker's id, so no incarnation carries out a start that is still on its way.
+    worker->inheritedUntil = leaseEnd;
+    // Calls carry the worker's id, so no other incarnation carries out a start still in flight.
     this->dropAllRuns(*worker, now);
     worker->listed = false;
     worker->over = true;
@@ -151,10 +153,10 @@
 {
     std::erase_if(this->workerTable, [&](const auto &entry) {
         const auto &worker = entry.second;
-        const bool isUnheard = now - worker.lastAnswer > this->times.workerMemory
-                               && now - this->tookOverAt > this->times.workerMemory;
+        const bool isUnresponsive = now - worker.lastAnswer > this->times.workerRetention
+                                    && now - this->tookOverAt > this->times.workerRetention;
         return !worker.listed && worker.runs.empty() && now > worker.inheritedUntil
-               && (worker.over || isUnheard);
+               && (worker.over || isUnresponsive);
     });
 }
 
@@ -168,14 +170,15 @@
 std::optional<std::int64_t> Scheduler::leaseUntil(const std::string &id, Instant now)
 {
     auto *worker = this->findWorker(id);
-    // A worker that has become unresponsive gets no longer lease: each would have to be waited out,
-    // since it may have arrived.
-    if (!worker || worker->clock == 0 || !worker->isHeard(now, this->times.silence))
+    // The lease of an unresponsive worker is not extended: an extension may have arrived, so the
+    // leader would have to wait for its end.
+    if (!worker || worker->clock == 0 || !worker->hasAnsweredWithin(now, this->times.answerTimeout))
         return std::nullopt;
     const auto passed =
-        std::chrono::duration_cast<std::chrono::milliseconds>(now - worker->clockAt).count();
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - worker->clockReceivedAt)
+            .count();
     const auto until = worker->clock + passed + this->leaseTerm();
-    worker->lastUntil = std::max(worker->lastUntil, until);
+    worker->latestLeaseEnd = std::max(worker->latestLeaseEnd, until);
     return until;
 }
 
@@ -184,45 +187,47 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(this->times.workerLease).count();
 }
 
-Instant Scheduler::leaseOverAt(const Worker &worker) const
+Instant Scheduler::leaseExpiry(const Worker &worker) const
 {
     if (!worker.surveyed || worker.clock == 0)
         return worker.inheritedUntil;
     const auto lease = std::max<Duration>(
-        std::chrono::milliseconds(worker.lastUntil - worker.clock), Duration::zero());
-    return std::max(worker.clockAt + this->longestBy(lease), worker.formerLeaseUntil);
+        std::chrono::milliseconds(worker.latestLeaseEnd - worker.clock), Duration::zero());
+    return std::max(worker.clockReceivedAt + this->maxLeaseDuration(lease),
+                    worker.formerLeaseUntil);
 }
 
-Duration Scheduler::longestBy(Duration lease) const
+Duration Scheduler::maxLeaseDuration(Duration lease) const
 {
     return policy::fromSeconds(policy::seconds(lease) * (1 + this->times.clockDrift))
            + this->times.leaseMargin;
 }
 
-// The lease that comes with a start is not known before it is sent.
-bool Scheduler::isOnItsWay(const RunKey &key, Instant now)
+// A start that is still being sent may carry a lease that is not in the worker's `latestLeaseEnd`
+// yet.
+bool Scheduler::isStartInFlight(const RunKey &key, Instant now)
 {
     auto *job = this->findJob(key.task.job);
     auto *task = job ? job->find(key.task) : nullptr;
     return task && std::any_of(task->runs.begin(), task->runs.end(), [&](const jobs::Run &run) {
                return run.number == key.number && run.state == jobs::RunState::Ordered
-                      && now - run.orderedAt <= this->times.longestOrder;
+                      && now - run.orderedAt <= this->times.orderTimeout;
            });
 }
 
-void Scheduler::writeOffUnresponsive(Instant now)
+void Scheduler::dropExpiredRuns(Instant now)
 {
     for (auto &entry : this->workerTable) {
         auto &worker = entry.second;
-        if (worker.runs.empty() || now <= this->leaseOverAt(worker))
+        if (worker.runs.empty() || now <= this->leaseExpiry(worker))
             continue;
-        const auto unheard =
+        const auto sinceAnswer =
             std::chrono::duration_cast<std::chrono::milliseconds>(now - worker.lastAnswer).count();
         this->note("worker-lapsed", entry.first,
-                   absl::StrCat("runs=", worker.runs.size(), " unheard-ms=", unheard));
+                   absl::StrCat("runs=", worker.runs.size(), " unheard-ms=", sinceAnswer));
         std::vector<RunKey> keys;
         for (const auto &run : worker.runs) {
-            if (!this->isOnItsWay(run.first, now))
+            if (!this->isStartInFlight(run.first, now))
                 keys.push_back(run.first);
         }
         for (const auto &key : keys)
@@ -242,7 +247,7 @@
     return worker && worker->listed ? worker : nullptr;
 }
 
-// A worker whose entry is gone may live on, with what it runs and has to tell.
+// A worker without an entry may still be alive, with runs and unacknowledged ends.
 bool Scheduler::isVmEmpty(const std::string &vm, Instant now) const
 {
     const auto present = this->incarnations.find(vm);
--- a/packages/scheduling/src/worker.cpp
+++ b/packages/scheduling/src/worker.cpp
@@ -1,4 +1,4 @@
-// What follows from a worker's answers, and from their absence.
+// Queries on the state of a worker.
 #include <sassafrasferry/scheduling/worker.h>
 
 namespace sassafrasferry::scheduling {
@@ -10,17 +10,17 @@
     return room;
 }
 
-bool Worker::mayRunUnseen(Instant now) const
+bool Worker::canHaveUnreportedRuns(Instant now) const
 {
     return !this->surveyed && !this->over && now <= this->inheritedUntil;
 }
 
 bool Worker::isEmpty(Instant now) const
 {
-    return this->runs.empty() && this->pendingEnds.empty() && !this->mayRunUnseen(now);
+    return this->runs.empty() && this->pendingEnds.empty() && !this->canHaveUnreportedRuns(now);
 }
 
-bool Worker::isHeard(Instant now, Duration within) const
+bool Worker::hasAnsweredWithin(Instant now, Duration within) const
 {
     return now - this->lastAnswer < within;
 }
