--- a/packages/scheduling/src/acknowledge_test.cpp
+++ b/packages/scheduling/src/acknowledge_test.cpp
@@ -1,4 +1,4 @@
-// Which ends are acknowledged, and when: never one whose loss would let a task start again.
+// When ends are acknowledged: not before their effect is stored, so that no task runs again.
 #include "../tests/scheduler_bench.h"
 
 #include <catch2/catch.hpp>
@@ -11,20 +11,20 @@
 
 const TaskId unknownTask{"unknown", 0, 0, 0};
 
-/// A bench whose worker `w0` runs the tasks of a job `j`.
-struct Running
+/// A bench whose worker `w0` runs all tasks of a job `j`.
+struct RunningJob
 {
-    explicit Running(std::size_t tasks)
+    explicit RunningJob(std::size_t tasks)
         : bench(1)
     {
-        this->bench.now += SchedulerTimes{}.inheritedLease + 1s; // no job is unread any more
+        this->bench.now += SchedulerTimes{}.inheritedLease + 1s; // too late for orphans
         this->bench.report("w0");
         this->bench.add("j", {stepOf(tasks)});
         this->starts = this->bench.plan().starts;
         this->bench.acceptAll({this->starts, {}, {}});
     }
 
-    /// The worker lists those ends, and the other runs.
+    /// Reports these ends, and the remaining tasks as running.
     void list(std::vector<ListedEnd> ends)
     {
         std::vector<ListedRun> runs;
@@ -50,29 +50,29 @@
 
 } // namespace
 
-TEST_CASE("an end is acknowledged once its effect, and that of all before it, is in the store")
+TEST_CASE("an end is acknowledged once its effect and those of all earlier ends are in the store")
 {
-    Running running(2);
+    RunningJob running(2);
     auto &bench = running.bench;
     const auto first = endOf(running.starts[0], 1, jobs::RunEnd::Done);
     const auto second = endOf(running.starts[1], 3, jobs::RunEnd::Done);
     const ListedEnd unknown{2, unknownTask, 1, jobs::RunEnd::Done, ""};
     running.list({first, unknown});
-    CHECK(running.acknowledged() == 0); // the unknown one waits for the one before it
+    CHECK(running.acknowledged() == 0); // the end of the unknown job waits for the one before it
     const auto rows = bench.scheduler.takeDirty(1, [](const std::string &) { return true; });
     running.list({first, unknown, second});
     for (const auto &row : rows)
         bench.scheduler.recorded(row);
-    CHECK(running.acknowledged() == 2); // the row was made before the last end
+    CHECK(running.acknowledged() == 2); // the row was made before the third end
     CHECK(bench.scheduler.stateOf("j") == JobState::Running);
     bench.record();
     CHECK(running.acknowledged() == 3);
     CHECK(bench.scheduler.stateOf("j") == JobState::Completed);
 }
 
-// A job leaves the books only when it is over in the store, so what ends after that changes
+// A job is removed from memory only once its final state is in the store, so later ends change
 // nothing.
-TEST_CASE("an end of a job that has left the books is acknowledged, and starts nothing")
+TEST_CASE("an end of a job removed from memory is acknowledged and starts nothing")
 {
     struct Case
     {
@@ -86,7 +86,7 @@
                               Case{"cancelled, done", 0, jobs::RunEnd::Done, true},
                               Case{"cancelled, stopped", 0, jobs::RunEnd::Stopped, true});
     INFO(row.name);
-    Running running(1);
+    RunningJob running(1);
     auto &bench = running.bench;
     std::vector<ListedEnd> ends;
     const auto end = [&](jobs::RunEnd how) {
@@ -110,9 +110,10 @@
     CHECK(bench.plan().starts.empty());
 }
 
-// Guards against tasks that run again after they were done: a leader that has lost the lease, but
-// may order for a while yet, started a job that its successor had not read.
-TEST_CASE("what a worker lists of a job that is not known yet counts once the job is")
+// Guards against tasks that run again after they were done: a leader that has lost the lease but
+// may still send orders for a while starts a job that its successor has not read from the store
+// yet.
+TEST_CASE("reported runs and ends of an unknown job are applied once the job is known")
 {
     struct Case
     {
@@ -143,14 +144,14 @@
     CHECK(bench.plan().starts.size() == 1);
 }
 
-TEST_CASE("an end of a job that is not known waits for the job, but not for long")
+TEST_CASE("an end of an unknown job is acknowledged after a short wait for the job")
 {
     Bench bench(1, 4000, true);
     bench.scheduler.knowsAllWorkers();
     const ListedEnd end{1, unknownTask, 1, jobs::RunEnd::Done, ""};
     bench.report("w0", {}, {end});
-    const bool comes = GENERATE(true, false);
-    if (comes) {
+    const bool arrives = GENERATE(true, false);
+    if (arrives) {
         bench.add(unknownTask.job, {stepOf(1)});
         bench.now += 5s;
         bench.report("w0", {}, {end});
@@ -165,8 +166,8 @@
     CHECK(bench.scheduler.acknowledged("w0") == 1);
 }
 
-// Room is given back as it was taken, though the run's need became known in between.
-TEST_CASE("a run whose job becomes known takes its room, once")
+// The room released must equal the room reserved, although the run's need was unknown at first.
+TEST_CASE("a run of a job that becomes known later reserves and releases its room once")
 {
     Bench bench(1, 1000, true);
     bench.scheduler.knowsAllWorkers();
--- a/packages/scheduling/src/scheduler_test.cpp
+++ b/packages/scheduling/src/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The leader's memory, one event after the other.
+// The scheduler's decisions, tested with single events.
 #include "../tests/scheduler_bench.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 using namespace sassafrasferry::scheduling;
 using namespace std::chrono_literals;
 
-TEST_CASE("a job is completed for callers once its last end is in the store")
+TEST_CASE("a job is reported as completed only once its final state is in the store")
 {
     Bench bench(1);
     bench.report("w0");
@@ -28,9 +28,9 @@
     CHECK(bench.scheduler.stateOf("other") == JobState::Unknown);
 }
 
-// The caller gets a bill twice: the start had no answer, the task was started elsewhere, and then
-// the first worker carried its order out.
-TEST_CASE("a task whose start had no answer runs elsewhere only after a stop was answered")
+// Guards against a task that runs twice: a start gets no answer, the task is started elsewhere, and
+// then the first worker carries out its start.
+TEST_CASE("after an unanswered start a task is started again only once a stop was answered")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -56,8 +56,8 @@
     CHECK(again[0].run > first.run);
 }
 
-// Guards against runs that leave the books without a line in the log.
-TEST_CASE("the log names a run that its worker lists no more")
+// Guards against runs that the scheduler drops without a log line.
+TEST_CASE("a run that its worker no longer reports is logged as missing")
 {
     Bench bench(1);
     bench.report("w0");
@@ -73,7 +73,7 @@
     CHECK(notes[0].detail == "run=1 worker=w0");
 }
 
-TEST_CASE("a start that had no answer and is listed goes on")
+TEST_CASE("a run whose start was not answered continues once its worker reports it")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -88,9 +88,9 @@
     CHECK(bench.scheduler.stateOf("j") == JobState::Running);
 }
 
-// A worker goes dark with a task on it. The task may run on until the worker's lease ends by the
-// worker's own slow clock, so nothing is started before that; and it is not longer than needed.
-TEST_CASE("tasks of a silent worker wait for the end of its lease and no longer")
+// The task of an unresponsive worker may run until the worker's lease ends by the worker's own slow
+// clock. The task must not be started elsewhere before that, and not much later either.
+TEST_CASE("tasks of an unresponsive worker restart when its lease has ended, and not before")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -111,8 +111,8 @@
     CHECK(again[0].worker == other);
 }
 
-// The leader that asks a silent worker again and again must not lengthen its lease by that.
-TEST_CASE("a silent worker's lease is not lengthened")
+// Repeated calls to an unresponsive worker must not extend its lease, which the leader waits for.
+TEST_CASE("the lease of an unresponsive worker is not extended")
 {
     Bench bench(1);
     bench.report("w0");
@@ -121,11 +121,9 @@
     CHECK_FALSE(bench.scheduler.leaseUntil("w0", bench.now + 5s).has_value());
 }
 
-// Two bills again: the new leader started a task that still ran on a worker it had not heard yet.
-// A worker that is cut off from the store is in no list of workers; only the list of VMs names it.
-// A job is shown as failed that failed once: the end was listed to the leader before as well, and
-// ends of one task come from several workers in any order.
-TEST_CASE("a failed run counts once, in whatever order ends are listed")
+// Guards against a job that fails too early: the same end may be reported to an earlier leader and
+// to this one, and ends of one task arrive from several workers in any order.
+TEST_CASE("a failed run counts once, in whatever order ends are reported")
 {
     const std::vector<std::vector<std::int64_t>> orders{{1, 2}, {2, 1}, {1, 1}, {2, 1, 2}};
     for (const auto &runs : orders) {
@@ -146,7 +144,7 @@
     }
 }
 
-TEST_CASE("a cancelled job's runs are stopped, and it is over at once")
+TEST_CASE("cancelling a job takes effect at once and stops its runs")
 {
     Bench bench(1);
     bench.report("w0");
@@ -160,9 +158,7 @@
     CHECK_FALSE(bench.scheduler.cancelJob("none"));
 }
 
-// A start on its way may reach the worker's next incarnation under the same id, so it is not
-// forgotten.
-TEST_CASE("where a task may run")
+TEST_CASE("a task is placed only where its room, label and limits allow")
 {
     struct Case
     {
@@ -233,8 +229,8 @@
     CHECK(rackOf(starts[0]) != rackOf(starts[1]));
 }
 
-// Late jobs earn little and push nobody out, and yet they end.
-TEST_CASE("a job that can be on time goes before one that can't")
+// A job that misses its objective earns little, so it must not delay one that can meet its own.
+TEST_CASE("a job that can meet its objective starts before one that can't")
 {
     Bench bench(1, 1000);
     bench.add("late", {stepOf(1)});
@@ -244,9 +240,9 @@
     CHECK(bench.plan().starts.at(0).task.job == "fresh");
 }
 
-// An availability budget of one: of two workers to be emptied only one task may be away at a time,
-// and it is away until it has been at work again for a moment.
-TEST_CASE("evacuation keeps the tasks that a lasting step must have at work")
+// With an availability budget of one, only one task of the two evacuated workers may be unavailable
+// at a time. A task counts as available only some time after it was first reported at full share.
+TEST_CASE("evacuation respects the availability budget of a lasting step")
 {
     Bench bench(3);
     bench.reportAll(3);
@@ -260,7 +256,7 @@
     atWork(orders.starts[0]);
     atWork(orders.starts[1]);
     CHECK_FALSE(bench.scheduler.evacuate(orders.starts[0].worker, false, bench.now));
-    CHECK(bench.plan().stops.empty()); // the other has only just been reported at work
+    CHECK(bench.plan().stops.empty()); // the other was first reported at full share just now
     bench.now += 300ms;
     bench.scheduler.evacuate(orders.starts[0].worker, false, bench.now);
     CHECK(bench.plan().stops.size() == 1);
@@ -268,9 +264,9 @@
     CHECK(bench.plan().stops.empty());
 }
 
-// The caller's task ends with the VM: its next incarnation listed itself and was given work while
-// the order to move it was still under way.
-TEST_CASE("a VM with an order under way is given no work")
+// Guards against a task that is lost with its VM: the VM's next incarnation is listed and gets a
+// task while the order to move the VM is still open.
+TEST_CASE("a VM with an open order gets no tasks")
 {
     Bench bench(1);
     bench.scheduler.holdVm("vm-w0");
@@ -281,7 +277,7 @@
     CHECK(bench.plan().starts.size() == 1);
 }
 
-TEST_CASE("what a worker's answer to a start leads to")
+TEST_CASE("the answer to a start decides whether the task starts again at once")
 {
     struct Case
     {
@@ -308,11 +304,9 @@
     }
 }
 
-// The caller's task ends with its VM: the entry of the VM's earlier incarnation came late, that
-// incarnation ran nothing, and so the VM seemed empty and was moved. A job that could be done is
-// shown as failed: a worker that fails all it starts had the most room, and was given each of the
-// task's attempts.
-TEST_CASE("a task that failed is tried on another worker")
+// Guards against a sound job that fails: a faulty worker that fails every run has the most room and
+// so gets every attempt of the task.
+TEST_CASE("a failed task is retried on another worker")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -323,7 +317,7 @@
     CHECK(bench.plan().starts.at(0).worker != first.worker);
 }
 
-TEST_CASE("a worker that fails run after run is given a rest")
+TEST_CASE("a worker whose runs fail repeatedly gets no starts for a while")
 {
     Bench bench(1);
     bench.report("w0");
@@ -340,10 +334,9 @@
     CHECK_FALSE(bench.plan().starts.empty());
 }
 
-// A leader that moves VMs sees hundreds of incarnations a minute: each one kept would be asked for
-// ever. An availability budget of one: the other task's worker went dark seconds ago, its lease has
-// not ended yet, and its last report said that the task is at work.
-TEST_CASE("a task on a silent worker does not count as at work")
+// With an availability budget of one, the other task's worker stopped answering seconds ago. Its
+// lease has not ended, and its last report had the task at full share.
+TEST_CASE("a task on an unresponsive worker does not count as available")
 {
     Bench bench(3);
     bench.reportAll(3);
@@ -354,15 +347,15 @@
     for (const auto &order : orders.starts)
         bench.report(order.worker, {{order.task, order.run, "", 100, 0}});
     bench.now += 2s;
-    const auto &heard = orders.starts[0];
-    bench.report(heard.worker, {{heard.task, heard.run, "", 100, 0}});
-    bench.scheduler.evacuate(heard.worker, false, bench.now);
+    const auto &responsive = orders.starts[0];
+    bench.report(responsive.worker, {{responsive.task, responsive.run, "", 100, 0}});
+    bench.scheduler.evacuate(responsive.worker, false, bench.now);
     CHECK(bench.plan().stops.empty());
 }
 
-// Guards against workers that are given more than they have room for, and against VMs that are
-// ended beside a run: a second run takes room until its end is listed.
-TEST_CASE("a second run of a task takes room until it has ended")
+// Guards against overloaded workers, and against VMs that are moved while a run is on them: an
+// unwanted second run occupies room until its end is reported.
+TEST_CASE("a second run of a task occupies room until its end is reported")
 {
     Bench bench(2, 1000);
     bench.reportAll(2);
--- a/packages/scheduling/src/takeover_test.cpp
+++ b/packages/scheduling/src/takeover_test.cpp
@@ -1,4 +1,4 @@
-// What a new leader takes over, and the incarnations of workers.
+// What a new leader inherits from the previous one, and the incarnations of workers.
 #include "../tests/scheduler_bench.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,9 @@
 using namespace sassafrasferry::scheduling;
 using namespace std::chrono_literals;
 
-TEST_CASE("after a takeover tasks wait for the workers that may run them")
+// Guards against tasks that run twice: a new leader starts a task that still runs on a worker that
+// has not reported to it yet.
+TEST_CASE("after a takeover tasks wait for reports of the workers that may run them")
 {
     struct Case
     {
@@ -19,9 +21,10 @@
     const std::vector<Case> cases{
         {"one worker has not answered", false, 0ms, 0},
         {"both have answered", true, 0ms, 1},
-        {"one is silent for less than it may run", false, SchedulerTimes{}.inheritedLease - 100ms,
-         0},
-        {"one is silent for longer", false, SchedulerTimes{}.inheritedLease + 100ms, 1},
+        {"one does not answer, and may still run tasks", false,
+         SchedulerTimes{}.inheritedLease - 100ms, 0},
+        {"one does not answer, and can't run tasks any more", false,
+         SchedulerTimes{}.inheritedLease + 100ms, 1},
     };
     for (const auto &row : cases) {
         INFO(row.name);
@@ -36,7 +39,7 @@
     }
 }
 
-TEST_CASE("a job that came after the takeover does not wait")
+TEST_CASE("a job that arrives after the takeover starts at once")
 {
     Bench bench(2, 4000, true);
     bench.add("j", {stepOf(1)}, false);
@@ -44,12 +47,14 @@
     CHECK(bench.plan().starts.size() == 1);
 }
 
-TEST_CASE("a worker that does not list itself is waited for after a takeover")
+// A worker that is cut off from the store has no entry in the list of workers; only the list of VMs
+// names it.
+TEST_CASE("after a takeover tasks also wait for workers without an entry")
 {
     Bench bench(1, 4000, true);
     bench.report("w0");
     bench.add("j", {stepOf(1)}, true);
-    CHECK(bench.plan().starts.empty()); // the list of VMs is not known
+    CHECK(bench.plan().starts.empty()); // the list of VMs has not been read yet
     bench.scheduler.expectWorker("ghost", "s");
     bench.scheduler.knowsAllWorkers();
     CHECK(bench.plan().starts.empty());
@@ -58,7 +63,7 @@
     CHECK(bench.plan().starts.size() == 1);
 }
 
-TEST_CASE("a run that a worker lists is taken over, an unwanted one is stopped")
+TEST_CASE("a reported run of a known job is adopted, one of an unknown job is stopped")
 {
     Bench bench(1, 4000, true);
     bench.scheduler.knowsAllWorkers();
@@ -73,7 +78,7 @@
     CHECK(bench.scheduler.stateOf("j") == JobState::Completed);
 }
 
-TEST_CASE("run numbers of two leaders never meet")
+TEST_CASE("a new leader does not reuse run numbers of an earlier one")
 {
     Bench bench(1, 4000, true);
     bench.report("w0");
@@ -81,7 +86,7 @@
     CHECK(bench.plan().starts.at(0).run > 1000);
 }
 
-TEST_CASE("a worker's next incarnation runs nothing of the one before")
+TEST_CASE("tasks restart when a report shows a new incarnation of their worker")
 {
     Bench bench(1);
     bench.report("w0");
@@ -92,7 +97,8 @@
     CHECK(bench.plan().starts.size() == 1);
 }
 
-TEST_CASE("a start on its way outlives the end of a worker's incarnation")
+// The start may reach the worker's next incarnation under the same id.
+TEST_CASE("a start in flight is kept when its worker's incarnation ends")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -102,7 +108,9 @@
     CHECK(bench.plan().starts.empty());
 }
 
-TEST_CASE("an entry of an earlier incarnation is not taken for the present one")
+// Guards against a task that is lost with its VM: with the late entry of an earlier incarnation,
+// which runs nothing, the VM would appear empty and be moved.
+TEST_CASE("a late entry of an earlier incarnation does not replace the current one")
 {
     Bench bench(1);
     bench.report("w0");
@@ -117,14 +125,14 @@
     REQUIRE(bench.scheduler.workerOf("vm-w0") != nullptr);
     CHECK(bench.scheduler.workerOf("vm-w0")->listing.id == "w9");
     CHECK_FALSE(bench.scheduler.findWorker("w0")->listed);
-    // What ran in the earlier incarnation is over, and starts again in this one.
+    // The run of the earlier incarnation has ended with it, so its task starts again on this one.
     bench.report("w9", {}, {}, 2);
     CHECK(bench.plan().starts.at(0).worker == "w9");
 }
 
 namespace {
 
-/// The worker's incarnation ends, and the next one lists itself as `id`.
+/// Lists the worker's next incarnation under `id`.
 void listNext(Bench &bench, const std::string &worker, const std::string &id)
 {
     auto next = bench.scheduler.findWorker(worker)->listing;
@@ -135,15 +143,15 @@
 
 } // namespace
 
-// Guards against tasks that run again after they were done: the leader read the answer that lists
-// their end only after it had heard of the worker's next incarnation.
-TEST_CASE("an answer of an incarnation that has ended still tells of ends, but of no runs")
+// Guards against tasks that run again after they were done: the leader reads the report of their
+// end only after it has learned of the worker's next incarnation.
+TEST_CASE("ends in a report of an earlier incarnation are applied, its runs are not")
 {
     struct Case
     {
         const char *name;
-        std::string nextId; ///< empty: that of the former incarnation
-        bool isEnd; ///< the answer lists the end of the run, or the run
+        std::string nextId; ///< empty: the same as before
+        bool isEnd; ///< the report has the end of the run; otherwise the run itself
         jobs::RunEnd end;
         bool startsAgain;
     };
@@ -175,9 +183,9 @@
           == (row.startsAgain ? JobState::Running : JobState::Completed));
 }
 
-// Guards against failures that are counted twice, and against the numbers of a former incarnation's
-// ends in the books of the present one.
-TEST_CASE("ends of a former incarnation count once, and acknowledge nothing")
+// Guards against failures that are counted twice, and against end numbers of an earlier incarnation
+// that count as acknowledged for the current one.
+TEST_CASE("ends of an earlier incarnation count once and are not acknowledged to the current one")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -195,7 +203,9 @@
     CHECK_FALSE(bench.scheduler.findWorker(first.worker)->surveyed);
 }
 
-TEST_CASE("workers that are gone are forgotten once nothing of theirs is open")
+// A leader that moves VMs sees hundreds of incarnations a minute, and would otherwise call each of
+// them forever.
+TEST_CASE("a worker that has ended is removed once no start to it is open")
 {
     Bench bench(2);
     bench.reportAll(2);
@@ -205,7 +215,7 @@
     bench.scheduler.endWorker(first.worker, EndEvidence::VmOrder, bench.now);
     CHECK_FALSE(bench.scheduler.findWorker(first.worker)->listed);
     bench.scheduler.forgetWorkers(bench.now);
-    CHECK(bench.scheduler.findWorker(first.worker) != nullptr); // a start is on its way
+    CHECK(bench.scheduler.findWorker(first.worker) != nullptr); // a start is in flight
     bench.scheduler.startAnswered(first, OrderAnswer::OtherIncarnation, bench.now);
     bench.now += 5s;
     bench.scheduler.forgetWorkers(bench.now);
@@ -213,10 +223,10 @@
     CHECK(bench.scheduler.listedWorkers() == 1);
 }
 
-// Callers' tasks wait for seconds after a takeover. VMs that were moved shortly before still have
-// the entry of their earlier incarnation, which answers nobody; but the platform's list tells that
-// another incarnation is there, so what ran in the earlier one has ended.
-TEST_CASE("an incarnation that the platform says is over is not waited for")
+// Guards against tasks that wait for seconds after a takeover. VMs moved shortly before still have
+// the entry of their earlier incarnation, which no longer answers; but the platform's list shows
+// that the VM has left it, so its runs have ended.
+TEST_CASE("tasks do not wait for an incarnation that has ended by the platform's list of VMs")
 {
     struct Case
     {
@@ -229,9 +239,12 @@
         {"the same incarnation", {"vm-w1", "s", "w1", true}, true, 0},
         {"another incarnation in another pool", {"vm-w1", "t", "x", true}, true, 1},
         {"off in the standby pool", {"vm-w1", "t", "", true}, true, 1},
-        {"on its way to another pool", {"vm-w1", "t", "", false}, true, 1},
-        {"between two incarnations in its pool, perhaps", {"vm-w1", "s", "", false}, true, 0},
-        {"up in its pool, with no incarnation that the platform hears",
+        {"moving to another pool", {"vm-w1", "t", "", false}, true, 1},
+        {"in its pool without an incarnation, perhaps restarting",
+         {"vm-w1", "s", "", false},
+         true,
+         0},
+        {"up in its pool, with no incarnation that the platform can reach",
          {"vm-w1", "s", "", true},
          true,
          0},
@@ -251,9 +264,9 @@
     }
 }
 
-// After each takeover VMs were moved to pools whose tasks were all running: until the workers had
-// answered, the new leader took the tasks for work that waits, and that has waited for long.
-TEST_CASE("tasks that may run unseen do not count as waiting")
+// Guards against VMs that are moved after a takeover to pools whose tasks are all running: until
+// the workers have reported, the new leader would count these tasks as waiting, and for long.
+TEST_CASE("tasks that may be running on unreported workers do not count as waiting")
 {
     Bench bench(2, 4000, true);
     bench.add("inherited", {lastingStep(2, 1)}, true);
@@ -266,9 +279,9 @@
     CHECK(load.running.cpu == 3000);
 }
 
-// Guards against tasks that wait for a worker that is gone: each call to its address, which another
-// worker has now, put the end of its lease off again.
-TEST_CASE("tasks of a worker whose address has another worker start elsewhere at once")
+// Guards against tasks that wait for a worker that no longer exists: each call to its address,
+// which now belongs to another worker, would postpone the end of its lease.
+TEST_CASE("tasks start elsewhere at once when another worker answers at their worker's address")
 {
     struct Case
     {
--- a/packages/scheduling/src/vm_answer_test.cpp
+++ b/packages/scheduling/src/vm_answer_test.cpp
@@ -1,5 +1,5 @@
-// What the answer to an order about a VM means for its worker: the order may have been carried out
-// before, by an earlier leader or by a call without an answer.
+// What the answer to an order about a VM implies for its worker. The order may have taken effect
+// earlier, through an earlier leader or an unanswered call.
 #include "../tests/estate.h"
 
 #include <catch2/catch.hpp>
@@ -11,7 +11,7 @@
 
 constexpr const char *vm = "one0";
 
-/// The next incarnation of the VM lists itself, and answers.
+/// Lists the next incarnation of the VM, and reports its answer to a hold unless it has ended.
 void listNext(Estate &estate, const std::string &id, const std::string &pool)
 {
     auto next = estate.scheduler.findWorker("w-one0")->listing;
@@ -39,15 +39,15 @@
 
 } // namespace
 
-// Guards against VMs that are lost to the leader: the platform's list was behind, and the order to
-// move the VM to where it was already ended its worker in the books alone.
-TEST_CASE("a VM whose worker has left the pool that the platform lists is not moved")
+// Guards against VMs that the leader no longer uses: the platform's list is out of date, and an
+// order to move the VM to the pool where it already is ends its worker only in the leader's view.
+TEST_CASE("a VM is not moved while its worker is not in the pool that the platform lists")
 {
     struct Case
     {
         const char *name;
-        std::string pool; ///< of the present incarnation
-        std::size_t tasks; ///< work of pool `two`, each of half a VM
+        std::string pool; ///< pool of the current incarnation
+        std::size_t tasks; ///< tasks of pool `two`, each half a VM in size
         bool moves;
     };
     const std::vector<Case> cases{
@@ -59,11 +59,11 @@
     for (const auto &row : cases) {
         INFO(row.name);
         Estate estate(3, 1, 1);
-        estate.now += 2s; // the pool's need of the start is forgotten
+        estate.now += 2s; // the initial demand of the pool has decayed
         estate.reportAll();
         listNext(estate, "n-one0", row.pool);
         if (row.tasks > 0) {
-            // Not on this VM, so that it stays empty.
+            // Keep the tasks off this VM, so that it stays empty.
             estate.scheduler.holdVm(vm);
             estate.work("two", row.tasks, vmCores / 2);
             estate.scheduler.releaseVm(vm);
@@ -72,7 +72,7 @@
     }
 }
 
-TEST_CASE("a planned order is given only while its VM is empty, unless it may be under way")
+TEST_CASE("a planned order is sent only while its VM is empty, unless it may already be in effect")
 {
     Estate estate(1, 1, 1);
     estate.planner.addWave({1, {vm}, 30s, 1}, {}, estate.now);
@@ -86,21 +86,21 @@
     CHECK(estate.planner.mayGive(orders[0], estate.scheduler, estate.now) == isOpen);
 }
 
-// Guards against tasks that run twice, and VMs lost to the leader, after an order that had been
-// carried out before: the worker that is there now came after it, and lives.
-TEST_CASE("a worker that lives takes work again after the leader took it for ended")
+// Guards against tasks that run twice, and VMs that the leader no longer uses, after an order that
+// took effect earlier: the current worker started after that and is alive.
+TEST_CASE("a live worker gets tasks again after the leader has considered it ended")
 {
     enum class Next {
-        SameWorker, ///< an earlier leader's order was carried out before this leader knew the VM
-        SameId, ///< the same, and it restarts under its id while the call is under way
-        OtherId, ///< it was maintained while the call is under way
+        SameWorker, ///< an earlier leader's order took effect before this leader knew the VM
+        SameId, ///< the same, and the worker restarts under its id during the call
+        OtherId, ///< the VM was maintained during the call
     };
     struct Case
     {
         const char *name;
         Next next;
-        bool isRepeated; ///< the first call had no answer
-        bool atOnce; ///< it is known to live
+        bool isRepeated; ///< the first call was not answered
+        bool atOnce; ///< gets tasks at once, since it is known to be alive
     };
     const auto row = GENERATE(
         Case{"the present worker came after an earlier leader's order", Next::SameWorker, false,
@@ -131,10 +131,10 @@
     CHECK(estate.scheduler.findWorker(id)->runs.empty());
     estate.planner.answered(orders[0], FleetAnswer::Accepted, estate.scheduler, estate.now);
     CHECK(startsOn(estate, id) == (row.atOnce ? 1 : 0));
-    // Its entry goes on to be listed.
+    // Its entry remains in the list of workers.
     const auto listing = estate.scheduler.findWorker(id)->listing;
-    const auto patience = SchedulerTimes{}.longestLease + 2s;
-    for (const auto end = estate.now + patience; estate.now < end && !row.atOnce;) {
+    const auto maxWait = SchedulerTimes{}.longestLease + 2s;
+    for (const auto end = estate.now + maxWait; estate.now < end && !row.atOnce;) {
         estate.now += 100ms;
         estate.scheduler.forgetWorkers(estate.now);
         estate.scheduler.listWorker(listing, estate.now);
--- a/packages/scheduling/tests/scheduler_bench.h
+++ b/packages/scheduling/tests/scheduler_bench.h
@@ -1,4 +1,4 @@
-// A scheduler with workers, for tests that tell it one event after the other.
+// A scheduler with workers and a clock, for tests that feed it single events.
 #pragma once
 
 #include <sassafrasferry/scheduling/scheduler.h>
@@ -26,7 +26,7 @@
     return step;
 }
 
-/// A scheduler with workers `w0`, `w1`, ... on racks of two, and a clock.
+/// A scheduler with workers `w0`, `w1`, ..., two to a rack, and a simulated clock.
 struct Bench
 {
     explicit Bench(std::size_t workerCount, std::int64_t cpu = 4000, bool hasPredecessor = false)
@@ -66,7 +66,7 @@
         this->scheduler.addJob(std::move(job));
     }
 
-    /// A worker answers a hold that was sent just now.
+    /// Reports the worker's answer to a hold that was sent at `now`.
     void report(const std::string &id, std::vector<ListedRun> running = {},
                 std::vector<ListedEnd> ended = {}, std::int64_t born = 1)
     {
