--- a/packages/cli/src/admin_client.cpp
+++ b/packages/cli/src/admin_client.cpp
@@ -1,4 +1,4 @@
-// The administration client.
+// Sends requests over a new connection each time and maps failures to status codes.
 #include "admin_client.h"
 
 #include <sassafrasferry/http/client.h>
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::seconds timeout{15};
 
-http::Exchange exchangeOnce(const model::Endpoint &endpoint, const http::Request &request)
+http::Exchange sendRequest(const model::Endpoint &endpoint, const http::Request &request)
 {
     http::asio::io_context context(1);
     http::Client client(context.get_executor(), endpoint, {});
@@ -39,7 +39,7 @@
     return {exchange.response.result_int(), std::move(body)};
 }
 
-absl::Status nobody(const std::string &lastError)
+absl::Status noEntryAnswered(const std::string &lastError)
 {
     return absl::UnavailableError("no entry VM answered: " + lastError);
 }
@@ -67,20 +67,20 @@
 {
     std::string lastError;
     for (const auto &endpoint : this->endpoints) {
-        const auto result = exchangeOnce(endpoint, http::Request{http::Verb::get, target, 11});
+        const auto result = sendRequest(endpoint, http::Request{http::Verb::get, target, 11});
         if (result.state == http::ExchangeState::Answered)
             return answerOf(result);
         lastError = std::string(result.status.message());
     }
-    return nobody(lastError);
+    return noEntryAnswered(lastError);
 }
 
-absl::StatusOr<AdminAnswer> AdminClient::find(const std::string &target)
+absl::StatusOr<AdminAnswer> AdminClient::getFirstFound(const std::string &target)
 {
     constexpr unsigned notFound = 404;
-    absl::StatusOr<AdminAnswer> last = nobody("");
+    absl::StatusOr<AdminAnswer> last = noEntryAnswered("");
     for (const auto &endpoint : this->endpoints) {
-        const auto result = exchangeOnce(endpoint, http::Request{http::Verb::get, target, 11});
+        const auto result = sendRequest(endpoint, http::Request{http::Verb::get, target, 11});
         if (result.state != http::ExchangeState::Answered)
             continue;
         last = answerOf(result);
@@ -95,14 +95,14 @@
     std::string lastError;
     for (const auto &endpoint : this->endpoints) {
         const auto result =
-            exchangeOnce(endpoint, http::jsonRequest(http::Verb::post, target, body));
+            sendRequest(endpoint, http::jsonRequest(http::Verb::post, target, body));
         if (result.state == http::ExchangeState::Answered)
             return answerOf(result);
         if (result.state == http::ExchangeState::Broken)
             return absl::UnknownError(std::string(result.status.message()));
         lastError = std::string(result.status.message());
     }
-    return nobody(lastError);
+    return noEntryAnswered(lastError);
 }
 
 } // namespace sassafrasferry::cli
--- a/packages/cli/src/admin_client.h
+++ b/packages/cli/src/admin_client.h
@@ -1,4 +1,4 @@
-// Asks the administration API of whichever entry VM answers.
+// Client of the administration API that fails over between entry VMs.
 #pragma once
 
 #include <sassafrasferry/http/json.h>
@@ -11,32 +11,32 @@
 
 namespace sassafrasferry::cli {
 
-/// An answer of the administration API.
+/// An HTTP response of the administration API.
 struct AdminAnswer
 {
     unsigned status = 0;
     http::Json body;
 };
 
-/// A client of the administration API; each call waits for its answer.
+/// A blocking client of the administration API.
 class AdminClient
 {
 public:
     explicit AdminClient(std::vector<model::Endpoint> endpoints);
 
-    /// Asks one entry VM after the other until one answers.
+    /// Sends the request to the entry VMs in order and returns the first response.
     absl::StatusOr<AdminAnswer> get(const std::string &target);
-    /// As `get`, but goes on past answers 404, for what only one entry VM knows.
-    absl::StatusOr<AdminAnswer> find(const std::string &target);
-    /// Posts to one entry VM after the other until one certainly took the request in. A failed
-    /// status `Unknown` means that one of them may have carried it out.
+    /// Like `get`, but tries the next entry VM after a 404, for data that only one entry VM holds.
+    absl::StatusOr<AdminAnswer> getFirstFound(const std::string &target);
+    /// Posts to the entry VMs in order until one may have received the request. The error `Unknown`
+    /// means that no complete response arrived, so the request may have been executed.
     absl::StatusOr<AdminAnswer> post(const std::string &target, const http::Json &body);
 
 private:
     std::vector<model::Endpoint> endpoints;
 };
 
-/// Parses "IP:port,IP:port"; empty if it is not of that form.
+/// Parses "IP:port,IP:port". Returns an empty list if any item is malformed.
 std::vector<model::Endpoint> parseEndpoints(const std::string &text);
 
 } // namespace sassafrasferry::cli
--- a/packages/cli/src/document_commands.cpp
+++ b/packages/cli/src/document_commands.cpp
@@ -1,4 +1,4 @@
-// Commands on the document.
+// Commands on the configuration document.
 #include "document_commands.h"
 
 #include "exit_code.h"
@@ -21,10 +21,10 @@
 using http::Json;
 
 constexpr unsigned okStatus = 200;
-constexpr int settleTries = 30;
-constexpr std::chrono::seconds settlePause{1};
-constexpr std::chrono::milliseconds watchPause{100};
-constexpr int watchTries = 600;
+constexpr int operationPollAttempts = 30;
+constexpr std::chrono::seconds operationPollInterval{1};
+constexpr std::chrono::milliseconds watchPollInterval{100};
+constexpr int watchPollAttempts = 600;
 
 std::optional<std::string> readFile(const std::string &path)
 {
@@ -34,7 +34,7 @@
     return text;
 }
 
-int report(const absl::Status &status)
+int printError(const absl::Status &status)
 {
     std::cerr << status.message() << "\n";
     return exit_code::unavailable;
@@ -53,7 +53,8 @@
 void printFindings(const Json &findings, const std::string &path)
 {
     for (const auto &finding : findings) {
-        // Places are counted in the section as it is stored, under the file's first line.
+        // Line numbers count from the start of the stored section, which lacks the file's first
+        // line (the revision).
         const auto file = finding.value("file", "");
         std::cerr << path << " (section " << file << "):" << finding.value("line", 0) << ":"
                   << finding.value("column", 0) << ": " << finding.value("keyPath", "") << ": "
@@ -61,19 +62,20 @@
     }
 }
 
-// Whether an operation took effect, asked until it is known or patience ends.
-int settle(AdminClient &client, const std::string &operationId, std::int64_t &revision)
+// Polls until the operation is recorded or the attempts are used up.
+int awaitOperation(AdminClient &client, const std::string &operationId, std::int64_t &revision)
 {
-    for (int i = 0; i < settleTries; ++i) {
+    for (int i = 0; i < operationPollAttempts; ++i) {
         const auto answer = client.get("/v1/operations/" + operationId);
         if (answer.ok() && answer->status == okStatus) {
             revision = answer->body.value("revision", std::int64_t{0});
             if (revision > 0)
                 return exit_code::ok;
         }
-        std::this_thread::sleep_for(settlePause);
+        std::this_thread::sleep_for(operationPollInterval);
     }
-    std::cerr << "unknown: ask for operation " << operationId << " later, with history\n";
+    std::cerr << "unknown: cannot confirm operation " << operationId
+              << "; look for it later with the history command\n";
     return exit_code::unknown;
 }
 
@@ -83,7 +85,7 @@
     std::cerr << state << "\n";
     if (state == "conflict") {
         std::cerr << "revision " << answer.body.value("revision", 0)
-                  << " changed this section first; it differs from your file by:\n"
+                  << " changed this section after your base revision; differences from your file:\n"
                   << lineDiff(answer.body.value("currentText", ""), text);
     }
     if (answer.body.contains("findings"))
@@ -113,7 +115,7 @@
 {
     const auto answer = client.get("/v1/document");
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     bool isFound = section.empty();
     for (const auto &item : answer->body["sections"]) {
         if (!section.empty() && item["name"] != section)
@@ -134,7 +136,7 @@
 {
     const auto answer = client.get("/v1/sections/" + section);
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     if (answer->status != okStatus) {
         std::cerr << "no section " << section << "\n";
         return exit_code::refused;
@@ -157,7 +159,7 @@
         return exit_code::refused;
     const auto answer = client.get("/v1/sections/" + section);
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     std::cout << lineDiff(answer->body.value("text", ""), file.text);
     return exit_code::ok;
 }
@@ -179,12 +181,12 @@
                                                         {"operationId", operationId},
                                                         {"token", options.token}});
     if (!answer.ok() && !absl::IsUnknown(answer.status()))
-        return report(answer.status());
+        return printError(answer.status());
     std::int64_t revision = 0;
     const bool isUnknown = !answer.ok() || answer->body.value("state", "") == "unknown";
     if (isUnknown) {
-        std::cerr << "no answer; asking for operation " << operationId << "\n";
-        if (const int code = settle(client, operationId, revision); code != exit_code::ok)
+        std::cerr << "no response; querying the state of operation " << operationId << "\n";
+        if (const int code = awaitOperation(client, operationId, revision); code != exit_code::ok)
             return code;
     } else if (answer->status != okStatus) {
         return explainRefusal(*answer, options, file.text);
@@ -197,13 +199,13 @@
 
 int history(AdminClient &client, std::int64_t after)
 {
-    // It comes in pages; the last one is empty.
+    // The history is paginated; an empty page ends it.
     for (;;) {
         const auto answer = client.get("/v1/history/" + std::to_string(after));
         if (!answer.ok())
-            return report(answer.status());
+            return printError(answer.status());
         if (answer->status != okStatus)
-            return report(absl::UnavailableError("the store cannot be read"));
+            return printError(absl::UnavailableError("the store cannot be read"));
         const auto &page = answer->body["history"];
         if (page.empty())
             return exit_code::ok;
@@ -218,11 +220,11 @@
 
 int watch(AdminClient &client, std::int64_t revision)
 {
-    std::map<std::string, std::int64_t> seen;
-    for (int i = 0; i < watchTries; ++i) {
+    std::map<std::string, std::int64_t> lastPrinted;
+    for (int i = 0; i < watchPollAttempts; ++i) {
         const auto answer = client.get("/v1/status");
         if (!answer.ok())
-            return report(answer.status());
+            return printError(answer.status());
         const auto &body = answer->body;
         std::map<std::string, std::int64_t> revisions{
             {body.value("entry", ""), body.value("revision", std::int64_t{0})}};
@@ -231,18 +233,18 @@
         const std::vector<std::string> live = body["live"];
         std::size_t inForce = 0;
         for (const auto &name : live) {
-            const auto has = revisions[name];
-            inForce += has >= revision ? 1 : 0;
-            if (seen[name] != has)
-                std::cout << name << " has revision " << has << "\n";
-            seen[name] = has;
+            const auto current = revisions[name];
+            inForce += current >= revision ? 1 : 0;
+            if (lastPrinted[name] != current)
+                std::cout << name << " has revision " << current << "\n";
+            lastPrinted[name] = current;
         }
         if (revision > 0 && inForce == live.size()) {
             std::cout << "revision " << revision << " is in force on all " << inForce
                       << " entry VMs\n";
             return exit_code::ok;
         }
-        std::this_thread::sleep_for(watchPause);
+        std::this_thread::sleep_for(watchPollInterval);
     }
     return exit_code::unknown;
 }
--- a/packages/cli/src/exit_code.h
+++ b/packages/cli/src/exit_code.h
@@ -4,9 +4,9 @@
 namespace sassafrasferry::cli::exit_code {
 
 constexpr int ok = 0;
-constexpr int refused = 1; ///< findings, another change came first, or not allowed
-constexpr int usage = 2; ///< the command line is faulty, or a file cannot be read
-constexpr int unavailable = 3; ///< no entry VM answered, or the store is down; nothing was changed
-constexpr int unknown = 4; ///< it could not be settled whether a change was accepted
+constexpr int refused = 1; ///< validation findings, a conflicting change, or not authorized
+constexpr int usage = 2; ///< invalid command line or unreadable file
+constexpr int unavailable = 3; ///< no entry VM answered or the store is down; no change was made
+constexpr int unknown = 4; ///< whether the change was accepted could not be determined
 
 } // namespace sassafrasferry::cli::exit_code
--- a/packages/cli/src/fleet_commands.cpp
+++ b/packages/cli/src/fleet_commands.cpp
@@ -1,4 +1,4 @@
-// Commands that look at the fleet.
+// Commands on the fleet.
 #include "fleet_commands.h"
 
 #include "exit_code.h"
@@ -13,7 +13,7 @@
 constexpr unsigned okStatus = 200;
 constexpr int nameWidth = 20;
 
-int report(const absl::Status &status)
+int printError(const absl::Status &status)
 {
     std::cerr << status.message() << "\n";
     return exit_code::unavailable;
@@ -25,7 +25,7 @@
 {
     const auto answer = client.get("/v1/status");
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     const auto &body = answer->body;
     std::cout << "entry " << body.value("entry", "") << " in " << body.value("dataCentre", "")
               << ", revision " << body.value("revision", 0) << ", fleet rows "
@@ -61,7 +61,7 @@
 {
     const auto answer = client.get("/v1/upstreams");
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     for (const auto &worker : answer->body["workers"])
         std::cout << std::left << std::setw(nameWidth) << worker.value("name", "") << " pool "
                   << std::setw(nameWidth) << worker.value("pool", "") << " in use "
@@ -73,11 +73,11 @@
 
 int explain(AdminClient &client, const std::string &requestId)
 {
-    const auto answer = client.find("/v1/requests/" + requestId);
+    const auto answer = client.getFirstFound("/v1/requests/" + requestId);
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     if (answer->status != okStatus) {
-        std::cerr << "no entry VM remembers request " << requestId << "\n";
+        std::cerr << "no entry VM has decisions recorded for request " << requestId << "\n";
         return exit_code::refused;
     }
     std::cout << "entry " << answer->body.value("entry", "") << "\n";
@@ -90,9 +90,9 @@
 {
     const auto answer = client.get("/v1/waves");
     if (!answer.ok())
-        return report(answer.status());
+        return printError(answer.status());
     if (answer->status != okStatus)
-        return report(absl::UnavailableError("the store cannot be read"));
+        return printError(absl::UnavailableError("the store cannot be read"));
     for (const auto &wave : answer->body["waves"]) {
         std::cout << "wave " << wave.value("name", "") << ": " << wave.value("state", "");
         if (const auto reason = wave.value("reason", ""); !reason.empty())
--- a/packages/cli/src/fleet_commands.h
+++ b/packages/cli/src/fleet_commands.h
@@ -1,18 +1,18 @@
-// Commands that look at the fleet: status, upstreams, explain.
+// Commands on the fleet: status, upstreams, explain, waves, wave.
 #pragma once
 
 #include "admin_client.h"
 
 namespace sassafrasferry::cli {
 
-/// Prints an entry VM's view: health, revision, peers, pools.
+/// Prints the health, revision, peers and pools that one entry VM reports.
 int status(AdminClient &client);
 /// Prints every worker as an entry VM sees it.
 int upstreams(AdminClient &client);
-/// Prints the decisions on a request.
+/// Prints the decisions that an entry VM recorded for a request.
 int explain(AdminClient &client, const std::string &requestId);
 
-/// Prints every wave with its progress and forecast, and every VM that is not in service.
+/// Prints each wave with its progress and estimated remaining time, and each VM out of service.
 int waves(AdminClient &client);
 /// Starts, halts or resumes a wave.
 int setWave(AdminClient &client, const std::string &wave, const std::string &action,
--- a/packages/cli/src/job_log.cpp
+++ b/packages/cli/src/job_log.cpp
@@ -1,4 +1,4 @@
-// What the logs of entry VMs tell of one job.
+// Extracts the history of one job from logs of entry VMs.
 #include "job_log.h"
 
 #include "exit_code.h"
@@ -16,10 +16,10 @@
 
 namespace {
 
-// A wait worth a sentence.
-constexpr std::int64_t longWait = 500; // ms
+// A longer wait for the first start is reported as a finding.
+constexpr std::int64_t longWaitMs = 500;
 
-/// The value of `key=value` in a line; empty: there is none.
+/// Returns the value of `key=value` in a line, or an empty string if the key is absent.
 std::string fieldOf(const std::string &line, const std::string &key)
 {
     const auto mark = key + "=";
@@ -32,19 +32,19 @@
     return line.substr(begin, line.find(' ', begin) - begin);
 }
 
-/// What was read so far.
-struct Reading
+/// Facts about the job, accumulated over the lines read so far.
+struct JobSummary
 {
     std::string service;
-    std::set<std::string> failedOn; // workers
+    std::set<std::string> failedOn; // workers on which a run failed
     std::size_t starts = 0;
     std::size_t failures = 0;
-    std::size_t leaders = 0; // that heard of the job
+    std::size_t leaders = 0; // leader terms in which the job was taken up
     std::size_t refusals = 0;
-    bool isUnsure = false;
-    std::string end; // the state in which the job ended
-    std::optional<std::int64_t> heardAt; // ms, by the first leader
-    std::optional<std::int64_t> startedAt;
+    bool isStorageUnknown = false;
+    std::string end; // final state; empty while the job is active
+    std::optional<std::int64_t> learnedAt; // ms, when the first leader took up the job
+    std::optional<std::int64_t> startedAt; // ms, start of the first run
 };
 
 std::optional<std::int64_t> timeOf(const std::string &line)
@@ -55,93 +55,97 @@
     return time;
 }
 
-void take(Reading &reading, const std::string &event, const std::string &line)
+void addEvent(JobSummary &summary, const std::string &event, const std::string &line)
 {
     const auto outcome = fieldOf(line, "outcome");
     if (event == "submit" && outcome == "refused")
-        ++reading.refusals;
+        ++summary.refusals;
     if (event == "submit" && outcome == "unknown")
-        reading.isUnsure = true;
+        summary.isStorageUnknown = true;
     if (event == "job") {
-        ++reading.leaders;
-        reading.service = fieldOf(line, "service");
-        if (!reading.heardAt)
-            reading.heardAt = timeOf(line);
+        ++summary.leaders;
+        summary.service = fieldOf(line, "service");
+        if (!summary.learnedAt)
+            summary.learnedAt = timeOf(line);
     }
-    if (event == "start" && reading.starts++ == 0)
-        reading.startedAt = timeOf(line);
+    if (event == "start" && summary.starts++ == 0)
+        summary.startedAt = timeOf(line);
     if (event == "end" && fieldOf(line, "how") == "failed") {
-        ++reading.failures;
-        reading.failedOn.insert(fieldOf(line, "worker"));
+        ++summary.failures;
+        summary.failedOn.insert(fieldOf(line, "worker"));
     }
     if (event == "job-end")
-        reading.end = fieldOf(line, "state");
+        summary.end = fieldOf(line, "state");
 }
 
-std::vector<std::string> findingsOf(const Reading &reading)
+std::vector<std::string> findingsOf(const JobSummary &summary)
 {
     std::vector<std::string> findings;
-    if (reading.refusals > 0)
-        findings.push_back(absl::StrCat("refused ", reading.refusals,
-                                        " times: the store took no jobs, and nothing was stored"));
-    if (reading.isUnsure)
-        findings.push_back("answered 504: the store did not tell in time whether it has the job");
-    if (reading.leaders > 1)
-        findings.push_back(absl::StrCat(reading.leaders, " leaders had the job in turn"));
-    if (reading.heardAt && reading.startedAt && *reading.startedAt - *reading.heardAt > longWait)
+    if (summary.refusals > 0)
+        findings.push_back(
+            absl::StrCat("refused ", summary.refusals,
+                         " times: the store did not accept jobs, and nothing was stored"));
+    if (summary.isStorageUnknown)
+        findings.push_back(
+            "answered 504: the store did not confirm in time whether it stored the job");
+    if (summary.leaders > 1)
+        findings.push_back(
+            absl::StrCat(summary.leaders, " leaders managed the job one after another"));
+    if (summary.learnedAt && summary.startedAt
+        && *summary.startedAt - *summary.learnedAt > longWaitMs)
         findings.push_back(absl::StrCat("its first task waited ",
-                                        *reading.startedAt - *reading.heardAt,
-                                        " ms; the load lines show for what"));
-    if (reading.leaders > 0 && reading.starts == 0)
-        findings.push_back("no task of it was started");
-    if (reading.failures > 0)
-        findings.push_back(absl::StrCat(reading.failures, " of ", reading.starts,
-                                        " runs failed, on ", reading.failedOn.size(), " workers"));
-    if (!reading.end.empty())
-        findings.push_back("ended: " + reading.end);
+                                        *summary.startedAt - *summary.learnedAt,
+                                        " ms to start; see the load lines for the cause"));
+    if (summary.leaders > 0 && summary.starts == 0)
+        findings.push_back("none of its tasks was started");
+    if (summary.failures > 0)
+        findings.push_back(absl::StrCat(summary.failures, " of ", summary.starts,
+                                        " runs failed, on ", summary.failedOn.size(), " workers"));
+    if (!summary.end.empty())
+        findings.push_back("ended: " + summary.end);
     return findings;
 }
 
 } // namespace
 
-JobStory storyOf(std::istream &log, const std::string &job)
+JobHistory readJobHistory(std::istream &log, const std::string &job)
 {
-    JobStory story;
-    Reading reading;
+    JobHistory history;
+    JobSummary summary;
     for (std::string line; std::getline(log, line);) {
         const auto event = fieldOf(line, "event");
         const auto subject = fieldOf(line, "of");
-        const bool isAbout =
+        const bool concernsJob =
             fieldOf(line, "job") == job || subject == job || absl::StartsWith(subject, job + ".");
-        const bool isUnderWay = !story.lines.empty() && reading.end.empty();
+        const bool isActive = !history.lines.empty() && summary.end.empty();
         const bool isLeaderChange = event == "lead" || event == "lead-lost";
-        const bool isLoad = event == "load" && reading.starts == 0 && !reading.service.empty()
-                            && fieldOf(line, "service") == reading.service;
-        if (!isAbout && !(isUnderWay && (isLeaderChange || isLoad)))
+        const bool isLoad = event == "load" && summary.starts == 0 && !summary.service.empty()
+                            && fieldOf(line, "service") == summary.service;
+        if (!concernsJob && !(isActive && (isLeaderChange || isLoad)))
             continue;
-        story.lines.push_back(line);
-        if (isAbout)
-            take(reading, event, line);
+        history.lines.push_back(line);
+        if (concernsJob)
+            addEvent(summary, event, line);
     }
-    story.findings = findingsOf(reading);
-    return story;
+    history.findings = findingsOf(summary);
+    return history;
 }
 
 int explainFromLog(const std::string &path, const std::string &job)
 {
     std::ifstream file(path);
     if (!file) {
-        std::cerr << path << ": cannot be read\n";
+        std::cerr << path << ": cannot open the file\n";
         return exit_code::usage;
     }
-    const auto story = storyOf(file, job);
-    if (story.lines.empty()) {
-        std::cerr << path << ": no line about " << job << '\n';
+    const auto history = readJobHistory(file, job);
+    if (history.lines.empty()) {
+        std::cerr << path << ": the log has no line about job " << job << '\n';
         return exit_code::refused;
     }
-    for (const auto &line : story.lines)
+    for (const auto &line : history.lines)
         std::cout << line << '\n';
-    for (const auto &finding : story.findings)
+    for (const auto &finding : history.findings)
         std::cout << "=> " << finding << '\n';
     return exit_code::ok;
 }
--- a/packages/cli/src/job_log.h
+++ b/packages/cli/src/job_log.h
@@ -1,4 +1,4 @@
-// What the logs of entry VMs tell of one job.
+// Extracts the history of one job from logs of entry VMs.
 #pragma once
 
 #include <istream>
@@ -7,18 +7,18 @@
 
 namespace sassafrasferry::cli {
 
-/// The way of a job, from logs that may be of several entry VMs, one after the other.
-struct JobStory
+/// The history of a job. The input may be the concatenated logs of several entry VMs.
+struct JobHistory
 {
-    /// The lines about the job, with changes of the leader in between, and the load of its service
-    /// until its first start. As in the log.
+    /// Unmodified log lines about the job, together with leader changes while the job is active and
+    /// the load of its service until its first task starts.
     std::vector<std::string> lines;
-    std::vector<std::string> findings; ///< what these lines amount to, a sentence each
+    std::vector<std::string> findings; ///< conclusions drawn from the lines, one sentence each
 };
 
-JobStory storyOf(std::istream &log, const std::string &job);
+JobHistory readJobHistory(std::istream &log, const std::string &job);
 
-/// Prints the story; exit code 1 if the log knows nothing of the job.
+/// Prints the history. Returns exit code 1 if the log has no line about the job.
 int explainFromLog(const std::string &path, const std::string &job);
 
 } // namespace sassafrasferry::cli
--- a/packages/cli/src/line_diff.cpp
+++ b/packages/cli/src/line_diff.cpp
@@ -1,5 +1,5 @@
-// Longest common subsequence of lines. Sections are a few hundred lines long, so the quadratic
-// table is small.
+// Diff by longest common subsequence. Sections are a few hundred lines long, so the quadratic table
+// is small.
 #include "line_diff.h"
 
 #include <algorithm>
--- a/packages/cli/src/line_diff.h
+++ b/packages/cli/src/line_diff.h
@@ -1,12 +1,12 @@
-// The difference between two texts, line by line.
+// Line-by-line difference between two texts.
 #pragma once
 
 #include <string>
 
 namespace sassafrasferry::cli {
 
-/// Lines of `before` that are gone with "-" in front, lines of `after` that are new with "+", and
-/// equal lines left out. Empty if the texts are equal.
+/// Returns removed lines prefixed with "-" and added lines prefixed with "+", without common lines.
+/// Returns an empty string if the texts have equal lines.
 std::string lineDiff(const std::string &before, const std::string &after);
 
 } // namespace sassafrasferry::cli
--- a/packages/cli/src/line_diff_test.cpp
+++ b/packages/cli/src/line_diff_test.cpp
@@ -1,4 +1,4 @@
-// Differences of texts.
+// Tests of the line diff.
 #include "line_diff.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("the difference names what went and what came")
+TEST_CASE("the diff lists removed and added lines")
 {
     const auto row = GENERATE(values<Case>({
         {"a\nb\n", "a\nb\n", ""},
--- a/packages/cli/src/main.cpp
+++ b/packages/cli/src/main.cpp
@@ -31,19 +31,19 @@
   sassafrasferry --version
 
 Options:
-  --admin LIST         Administration addresses of entry VMs, with commas between; the first that
-                       answers serves. Otherwise from SASSAFRASFERRY_ADMIN.
+  --admin LIST         Administration addresses of entry VMs, separated by commas; the first that
+                       answers is used. Default: SASSAFRASFERRY_ADMIN.
   --wait               Return when the change is in force on every entry VM.
-  --log FILE           A saved log of one or more entry VMs: the way of a job, with no VM asked.
-  --after REVISION     Print what came after this revision [default: 0].
+  --log FILE           A saved log of one or more entry VMs; prints the job's history from it.
+  --after REVISION     Print changes after this revision [default: 0].
   --revision REVISION  Return when this revision is in force everywhere [default: 0].
   -h --help            Print this.
   --version            Print the version.
 
-The team's token is taken from SASSAFRASFERRY_TOKEN.
+The team's token is read from SASSAFRASFERRY_TOKEN.
 
-Exit codes: 0 done; 1 refused, with the reason; 2 faulty command line or file; 3 nobody answered,
-and nothing was changed; 4 it is not known whether the change was accepted.
+Exit codes: 0 done; 1 refused, with the reason; 2 invalid command line or file; 3 no entry VM
+answered, no change was made; 4 unknown whether the change was accepted.
 )";
 
 using namespace sassafrasferry;
@@ -70,7 +70,7 @@
         arguments["--admin"] ? text("--admin") : fromEnvironment("SASSAFRASFERRY_ADMIN");
     const auto endpoints = cli::parseEndpoints(list);
     if (endpoints.empty()) {
-        std::cerr << "--admin or SASSAFRASFERRY_ADMIN must name addresses, as in "
+        std::cerr << "--admin or SASSAFRASFERRY_ADMIN must list addresses, for example "
                      "127.0.0.1:8002,127.0.0.2:8002\n";
         return cli::exit_code::usage;
     }
--- a/packages/cli/src/section_file.cpp
+++ b/packages/cli/src/section_file.cpp
@@ -1,4 +1,4 @@
-// Section files.
+// Reads and writes section files.
 #include "section_file.h"
 
 #include <sassafrasferry/model/sections.h>
@@ -10,13 +10,13 @@
 
 namespace {
 
-const std::string prefix = "# revision ";
+const std::string revisionPrefix = "# revision ";
 
 } // namespace
 
 std::string writeSectionFile(const std::string &section, const SectionFile &file)
 {
-    return absl::StrCat(prefix, file.baseRevision, " of section ", section,
+    return absl::StrCat(revisionPrefix, file.baseRevision, " of section ", section,
                         "; apply reads this line\n", file.text);
 }
 
@@ -25,12 +25,13 @@
 {
     SectionFile file;
     auto text = content;
-    if (text.rfind(prefix, 0) == 0) {
+    if (text.rfind(revisionPrefix, 0) == 0) {
         const auto lineEnd = std::min(text.find('\n'), text.size() - 1);
-        const auto numberEnd = text.find(' ', prefix.size());
-        const auto number = text.substr(prefix.size(), numberEnd - prefix.size());
+        const auto numberEnd = text.find(' ', revisionPrefix.size());
+        const auto number = text.substr(revisionPrefix.size(), numberEnd - revisionPrefix.size());
         if (!absl::SimpleAtoi(number, &file.baseRevision))
-            findings.push_back({{path, 1, 1}, "", "the first line names no revision"});
+            findings.push_back(
+                {{path, 1, 1}, "", "the first line contains no valid revision number"});
         text.erase(0, lineEnd + 1);
     }
     auto sections = model::splitSections(text, path, findings);
--- a/packages/cli/src/section_file.h
+++ b/packages/cli/src/section_file.h
@@ -1,5 +1,5 @@
-// A section as a file that an operator edits: its text under a line that names the revision it
-// came from, so that applying it needs no other flag.
+// File format in which an operator edits a section: a first line with the base revision, so that
+// `apply` needs no flag for it, followed by the section's text.
 #pragma once
 
 #include <sassafrasferry/model/finding.h>
@@ -13,14 +13,14 @@
 struct SectionFile
 {
     std::string text;
-    std::int64_t baseRevision = 0; ///< 0: the section is new
+    std::int64_t baseRevision = 0; ///< 0 for a new section
 };
 
-/// The text of a file for a section.
+/// Serializes a section to the file format.
 std::string writeSectionFile(const std::string &section, const SectionFile &file);
 
-/// Reads a file. If it is a whole document, only the section's own part is taken. Findings name
-/// `path`.
+/// Parses a file. Of a whole document only the part that defines `section` is returned. Findings
+/// refer to `path`.
 SectionFile readSectionFile(const std::string &section, const std::string &content,
                             const std::string &path, model::Findings &findings);
 
--- a/packages/cli/src/section_file_test.cpp
+++ b/packages/cli/src/section_file_test.cpp
@@ -1,4 +1,4 @@
-// Section files survive their round, comments kept.
+// Section files keep text, comments and base revision in a round trip.
 #include "section_file.h"
 
 #include <catch2/catch.hpp>
@@ -6,7 +6,7 @@
 using namespace sassafrasferry;
 using namespace sassafrasferry::cli;
 
-TEST_CASE("what was written is read again, with its revision")
+TEST_CASE("a written section file is read back with the same text and revision")
 {
     const std::string text = "# ours\n[sections.billing]\nteam = \"bill\" # us\n";
     model::Findings findings;
@@ -17,7 +17,7 @@
     CHECK(file.text == text);
 }
 
-TEST_CASE("of a whole document only the section's own part is taken")
+TEST_CASE("reading a section from a whole document returns only that section")
 {
     model::Findings findings;
     const auto file = readSectionFile(
@@ -27,7 +27,7 @@
     CHECK(file.text == "[sections.b]\nteam = \"y\"\n");
 }
 
-TEST_CASE("a file without the section, or not TOML, is a finding")
+TEST_CASE("a file that lacks the section or is not TOML yields a finding")
 {
     const auto content = GENERATE(as<std::string>{}, "[sections.a]\nteam = \"x\"\n", "= =\n",
                                   "# revision x of section b\n[sections.b]\n");
