--- a/cmake/catch_main.cpp
+++ b/cmake/catch_main.cpp
@@ -1,3 +1,3 @@
-// The one translation unit that holds Catch2's main, built once and linked by every test program.
+// Catch2's main function, compiled once and linked into every test program.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/cmake/package.cmake
+++ b/cmake/package.cmake
@@ -1,4 +1,4 @@
-# Options that every target of this workspace shares, and the two helpers that packages use.
+# Build options shared by all targets, and the functions add_package and add_package_tests.
 
 option(SASSAFRASFERRY_SANITIZE "address,undefined or thread; empty for none" "")
 set(CMAKE_EXPORT_COMPILE_COMMANDS ON)
@@ -11,17 +11,17 @@
 # boost/asio/awaitable.hpp 1.74 uses std::exchange without including <utility>.
 target_compile_options(project_options INTERFACE -include utility -fcoroutines -Wall -Wextra
     -Werror
-    # All three warn falsely with g++ 12: on coroutine frames, and on "text" + string.
+    # False positives of g++ 12 on coroutine frames and on "text" + string.
     -Wno-maybe-uninitialized -Wno-mismatched-new-delete -Wno-restrict)
 target_compile_definitions(project_options INTERFACE BOOST_ASIO_NO_DEPRECATED
     BOOST_BEAST_USE_STD_STRING_VIEW SASSAFRASFERRY_VERSION="${PROJECT_VERSION}")
 if(SASSAFRASFERRY_SANITIZE)
-    # At -O2 the sanitizers' code makes coroutines compile several times longer.
+    # With sanitizers, coroutines take several times longer to compile at -O2.
     set(CMAKE_CXX_FLAGS_RELWITHDEBINFO "-O1 -g1")
     add_compile_options(-fsanitize=${SASSAFRASFERRY_SANITIZE} -fno-omit-frame-pointer)
     add_link_options(-fsanitize=${SASSAFRASFERRY_SANITIZE})
     if(SASSAFRASFERRY_SANITIZE STREQUAL thread)
-        # Asio uses fences, which the thread sanitizer does not follow and g++ warns of.
+        # Asio uses fences, which the thread sanitizer does not support and g++ warns about.
         add_compile_options(-Wno-tsan)
     endif()
 endif()
--- a/examples/check_document.cpp
+++ b/examples/check_document.cpp
@@ -1,4 +1,4 @@
-// Prints every finding of a faulty document at once.
+// Prints all validation findings of an invalid document.
 #include <sassafrasferry/model/sections.h>
 
 #include <iostream>
--- a/examples/plan_wave.cpp
+++ b/examples/plan_wave.cpp
@@ -1,4 +1,5 @@
-// Plans the first step of a wave over eight VMs in four racks, of which six must stay in service.
+// Plans the first step of a maintenance wave over eight VMs in four racks; six VMs must stay in
+// service.
 #include <sassafrasferry/policy/wave_planner.h>
 
 #include <iostream>
--- a/examples/share_slots.cpp
+++ b/examples/share_slots.cpp
@@ -1,4 +1,5 @@
-// Divides the slots of three workers among four entry VMs, as each of them computes it.
+// Divides the slots of three workers among four entry VMs with the function that each entry VM
+// runs.
 #include <sassafrasferry/policy/shares.h>
 
 #include <iostream>
--- a/fuzz/document_fuzz.cpp
+++ b/fuzz/document_fuzz.cpp
@@ -1,4 +1,5 @@
-// Documents: splitting keeps every byte, and a sound document has every VM in one pool.
+// Fuzzes the document parser: splitting preserves every byte, and in a valid document each VM
+// belongs to one pool.
 #include <sassafrasferry/model/sections.h>
 
 #include <set>
--- a/fuzz/peer_fuzz.cpp
+++ b/fuzz/peer_fuzz.cpp
@@ -1,4 +1,4 @@
-// Peer messages: what parses is written out again and parses to the same.
+// Fuzzes peer messages: a message that parses can be serialized and parsed again.
 #include <sassafrasferry/messages/peer.pb.h>
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
--- a/fuzz/rows_fuzz.cpp
+++ b/fuzz/rows_fuzz.cpp
@@ -1,5 +1,5 @@
-// Bodies of administration requests and rows of the store: JSON of any shape is an error or a
-// value.
+// Fuzzes the parsers of stored rows: any JSON yields a value or an error, and a parsed claim
+// survives a round trip.
 #include <sassafrasferry/fleet/fleet_rows.h>
 #include <sassafrasferry/store/claim_rows.h>
 
--- a/packages/fakes/include/sassafrasferry/fakes/memory_tables.h
+++ b/packages/fakes/include/sassafrasferry/fakes/memory_tables.h
@@ -1,4 +1,4 @@
-// The table service in memory, with switches for its faults.
+// In-memory table service with fault injection.
 #pragma once
 
 #include <sassafrasferry/store/rows.h>
@@ -10,16 +10,16 @@
 
 using store::Awaitable;
 
-/// Faults of the table service. Counts are used up by one call each.
+/// Faults to inject. Each affected call decrements its counter by one.
 struct TableFaults
 {
-    bool down = false; ///< every call fails, and nothing is written
-    std::size_t lostAnswers = 0; ///< transactions that take effect and give no answer
-    std::size_t lostCalls = 0; ///< transactions that neither take effect nor give an answer
-    std::size_t failedReads = 0;
+    bool down = false; ///< every call fails and nothing is written
+    std::size_t lostAnswers = 0; ///< next transactions that are committed but answer `Unknown`
+    std::size_t lostCalls = 0; ///< next transactions that are not committed and answer `Unknown`
+    std::size_t failedReads = 0; ///< next reads and scans that fail
 };
 
-/// Keeps rows in memory. Fulfils `store::TableService`, without waiting.
+/// Keeps rows in memory. Implements `store::TableService`; calls complete without suspending.
 class MemoryTables
 {
 public:
@@ -27,14 +27,14 @@
     Awaitable<absl::StatusOr<std::vector<store::Row>>> read(std::vector<store::RowKey> keys);
     Awaitable<absl::StatusOr<std::vector<store::Row>>> scan(store::ScanRange range);
 
-    /// Commits at once, past all faults.
+    /// Commits synchronously and ignores the injected faults.
     store::Commit commitNow(const store::Transaction &transaction);
     std::vector<store::Row> readNow(const std::vector<store::RowKey> &keys) const;
     std::vector<store::Row> scanNow(const store::ScanRange &range) const;
 
     TableFaults faults;
-    std::size_t commits = 0; ///< transactions asked for
-    std::size_t reads = 0;
+    std::size_t commits = 0; ///< number of `commit` calls
+    std::size_t reads = 0; ///< number of `read` and `scan` calls
 
 private:
     std::map<store::RowKey, store::Row> rows;
--- a/packages/fakes/include/sassafrasferry/fakes/run.h
+++ b/packages/fakes/include/sassafrasferry/fakes/run.h
@@ -1,4 +1,4 @@
-// Runs coroutines in tests.
+// Runs a coroutine to completion in a test.
 #pragma once
 
 #include <sassafrasferry/http/types.h>
@@ -12,8 +12,8 @@
 
 namespace sassafrasferry::fakes {
 
-/// Runs a coroutine until it has ended, and gives its result. `context` may be used by objects
-/// that the coroutine waits for.
+/// Runs a coroutine to completion and returns its result or rethrows its exception. Objects that
+/// the coroutine awaits may use `context`.
 template<typename T>
 T run(boost::asio::io_context &context, http::Awaitable<T> awaitable)
 {
@@ -30,7 +30,7 @@
     if (failure)
         std::rethrow_exception(failure);
     if (!result)
-        throw std::logic_error("the coroutine did not end");
+        throw std::logic_error("the coroutine did not complete");
     return std::move(*result);
 }
 
--- a/packages/fakes/src/memory_tables.cpp
+++ b/packages/fakes/src/memory_tables.cpp
@@ -1,4 +1,4 @@
-// The table service in memory.
+// In-memory table service with fault injection.
 #include <sassafrasferry/fakes/memory_tables.h>
 
 #include <absl/status/status.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-bool use(std::size_t &count)
+bool consumeFault(std::size_t &count)
 {
     if (count == 0)
         return false;
@@ -73,10 +73,10 @@
     ++this->commits;
     if (this->faults.down)
         co_return Commit{CommitState::NotApplied, store::absent, {}};
-    if (use(this->faults.lostCalls))
+    if (consumeFault(this->faults.lostCalls))
         co_return Commit{CommitState::Unknown, store::absent, {}};
     auto commit = this->commitNow(transaction);
-    if (use(this->faults.lostAnswers))
+    if (consumeFault(this->faults.lostAnswers))
         co_return Commit{CommitState::Unknown, store::absent, {}};
     co_return commit;
 }
@@ -84,7 +84,7 @@
 Awaitable<absl::StatusOr<std::vector<Row>>> MemoryTables::read(std::vector<RowKey> keys)
 {
     ++this->reads;
-    if (this->faults.down || use(this->faults.failedReads))
+    if (this->faults.down || consumeFault(this->faults.failedReads))
         co_return absl::UnavailableError("down");
     co_return this->readNow(keys);
 }
@@ -92,7 +92,7 @@
 Awaitable<absl::StatusOr<std::vector<Row>>> MemoryTables::scan(store::ScanRange range)
 {
     ++this->reads;
-    if (this->faults.down || use(this->faults.failedReads))
+    if (this->faults.down || consumeFault(this->faults.failedReads))
         co_return absl::UnavailableError("down");
     co_return this->scanNow(range);
 }
