--- a/scripts/checks.sh
+++ b/scripts/checks.sh
@@ -1,9 +1,9 @@
-# What the scripts that cause faults check, and the load they do it under. Sourced after fleet.sh, by
-# scripts that set `entries` and `workers`.
+# Load generation and checks shared by the fault injection scripts. Source it after fleet.sh, in scripts
+# that set `entries` and `workers`.
 
 failures=0
 
-# fleet_document: one pool of all workers, with two services and a wave.
+# fleet_document: prints a document with one pool of all workers, two services and a wave.
 fleet_document() {
     cat <<DOC
 [sections.fleet]
@@ -34,7 +34,7 @@
     fi
 }
 
-check_within() { # SECONDS WHAT COMMAND...: that the command succeeds in time
+check_within() { # SECONDS WHAT COMMAND...: fails unless the command succeeds in time
     local seconds=$1 what=$2 happened=yes
     shift 2
     wait_for "$seconds" "$@" || happened=no
@@ -47,7 +47,7 @@
 
 live_at() { status_of "$1" | python3 -c 'import json,sys; print(len(json.load(sys.stdin)["live"]))'; }
 sees() { [ "$(live_at "$1")" = "$2" ]; }
-# all_see COUNT N...: waits until each of the entry VMs N sees COUNT live, and says how long it took.
+# all_see COUNT N...: waits until each of the entry VMs N reports COUNT live entry VMs; prints the time taken.
 all_see() {
     local count=$1 begin n
     shift
@@ -56,7 +56,7 @@
     echo "  entry VMs $* see $count live after $((($(date +%s%N) - begin) / 1000000)) ms"
 }
 
-# load NAME SECONDS: starts a steady load that ends by itself.
+# load NAME SECONDS: starts a constant load that stops after SECONDS.
 load() {
     local list="" n
     for ((n = 1; n <= entries; ++n)); do list+="${list:+,}$(caller_address "$n")"; done
@@ -68,7 +68,7 @@
 }
 load_seed=0
 
-# judge NAME: waits for a load and checks what must hold under any fault. Its report stays in $report.
+# judge NAME: waits for a load to end and checks the invariants that hold under any fault. Sets $report.
 judge() {
     local code=0
     end_quietly "load-$1" || code=$?
@@ -84,7 +84,7 @@
 }
 count() { python3 -c 'import json,sys; r=json.loads(sys.argv[1]); print(sum(c[sys.argv[2]] for c in r["classes"].values()))' "$report" "$1"; }
 
-# conclude NAME: the last line; fails if any check failed.
+# conclude NAME: prints the summary line; fails if any check failed.
 conclude() {
     [ $failures -eq 0 ] && echo "$1: all checks passed" || echo "$1: $failures checks failed"
     [ $failures -eq 0 ]
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,8 +1,8 @@
-# Starts and ends the processes of a small fleet on loopback addresses. Sourced by the scripts that
-# need one; nothing else starts processes. Every process is ended by the id it was started with.
+# Starts and stops the processes of a small fleet on loopback addresses. Sourced by the scripts that need
+# a fleet; all processes are started here and stopped by their own process id.
 #
-# Callers' ports are BASE+10+N, administration BASE+30+N, peers BASE+50+N for entry VM N from 1,
-# the platform is at BASE, workers from BASE+100 on.
+# Ports: the platform at BASE; for entry VM N (from 1) callers at BASE+10+N, administration at BASE+30+N and
+# peers at BASE+50+N; workers from BASE+100.
 
 fleet_dir=${FLEET_DIR:-$(mktemp -d)}
 fleet_bin=${FLEET_BIN:-build}
@@ -15,7 +15,7 @@
 peer_address() { echo "127.0.0.1:$((base + 50 + $1))"; }
 worker_address() { echo "127.0.0.1:$((base + 99 + $1))"; }
 
-# start NAME COMMAND...: runs a process with its log in the fleet's folder.
+# start NAME COMMAND...: starts a background process that logs to the fleet's folder.
 start() {
     local name=$1
     shift
@@ -23,7 +23,7 @@
     fleet_pids[$name]=$!
 }
 
-# wait_for SECONDS COMMAND...: until the command succeeds; fails when the time is over.
+# wait_for SECONDS COMMAND...: repeats the command until it succeeds; fails after the timeout.
 wait_for() {
     local end=$((SECONDS + $1))
     shift
@@ -33,7 +33,7 @@
     done
 }
 
-# end NAME [SIGNAL]: sends a signal and waits; the exit code is the process's.
+# end NAME [SIGNAL]: signals a process and waits for it; returns its exit code.
 end() {
     local pid=${fleet_pids[$1]}
     kill "-${2:-TERM}" "$pid" 2>/dev/null || true
@@ -53,7 +53,7 @@
 }
 
 start_platform() {
-    # A fleet on the same ports would answer in place of this one.
+    # Another fleet on the same ports would answer requests meant for this one.
     if curl -s -o /dev/null "http://$platform_address/"; then
         echo "ports from $base on are in use; set FLEET_BASE" >&2
         exit 1
@@ -62,7 +62,7 @@
     wait_for 10 curl -sf -o /dev/null "http://$platform_address/v1/vms?state=leaving"
 }
 
-# start_workers COUNT [OPTIONS]: workers w1, w2 and so on in one process.
+# start_workers COUNT [OPTIONS]: starts workers w1 to wCOUNT in one process.
 start_workers() {
     local count=$1
     shift
@@ -71,7 +71,7 @@
     wait_for 10 curl -sf -o /dev/null "http://$(worker_address "$count")/standin/runs"
 }
 
-# write_settings N COUNT: the settings of entry VM N of COUNT. FLEET_EXTRA is appended.
+# write_settings N COUNT: writes the settings of entry VM N of COUNT and appends FLEET_EXTRA.
 write_settings() {
     local n=$1 count=$2 i
     {
@@ -106,13 +106,13 @@
     export SASSAFRASFERRY_ADMIN=$admin_list
 }
 
-# vm N: the table of worker N, two racks for each of four data centres.
+# vm N: prints the TOML table of worker N; workers spread over four data centres of two racks each.
 vm() {
     printf 'name = "w%d"\naddress = "%s"\ndataCentre = "dc%d"\nrack = "r%d"\n' \
         "$1" "$(worker_address "$1")" $((($1 - 1) / 4 % 4 + 1)) $((($1 - 1) / 4 + 1))
 }
 
-# pool SECTION POOL FIRST LAST: a pool of workers.
+# pool SECTION POOL FIRST LAST: prints a pool of the workers FIRST to LAST.
 pool() {
     local i
     for ((i = $3; i <= $4; ++i)); do
@@ -123,5 +123,5 @@
 
 fleet_cli() { "$fleet_bin/packages/cli/sassafrasferry" "$@"; }
 
-# healthy N: whether entry VM N is healthy.
+# healthy N: succeeds if entry VM N is healthy.
 healthy() { curl -sf -o /dev/null "http://$(admin_address "$1")/healthz"; }
