--- a/packages/coordination/include/sassafrasferry/coordination/hand_in.h
+++ b/packages/coordination/include/sassafrasferry/coordination/hand_in.h
@@ -1,4 +1,4 @@
-// Hands a job in where the store answers: at this entry VM, else through a peer.
+// Stores a submitted job from this entry VM or, if the store doesn't serve it, through a peer.
 #pragma once
 
 #include <sassafrasferry/coordination/intake.h>
@@ -7,9 +7,9 @@
 
 namespace sassafrasferry::coordination {
 
-/// What is known of a job after this entry VM and then a peer tried to store it. `peer` is nothing
-/// if the peer did not answer: it may have stored the job.
-constexpr IntakeResult combine(IntakeResult own, std::optional<IntakeResult> peer)
+/// Outcome for a job after this entry VM and then a peer tried to store it. `peer` is `nullopt` if
+/// the peer did not answer, in which case it may have stored the job.
+constexpr IntakeResult combineResults(IntakeResult own, std::optional<IntakeResult> peer)
 {
     const auto isStored = [](IntakeResult result) {
         return result == IntakeResult::Stored || result == IntakeResult::Known;
@@ -24,9 +24,12 @@
     return neverStored ? IntakeResult::Refused : IntakeResult::Unknown;
 }
 
-/// The store may refuse or not answer some entry VMs while it serves others. Their callers would
-/// be turned away until they happen to reach another, which takes most of the time they have.
-/// `askPeer(job, record)` returns the peer's result as in `combine`; Refused if there is no peer.
+/// Stores a job through a peer if the store refuses it here or doesn't answer.
+///
+/// The store may refuse or not answer some entry VMs while it serves others. Without a peer,
+/// callers of such an entry VM would be refused until they happen to reach another one, which takes
+/// most of the time they have. `askPeer(job, record)` returns the peer's result as in
+/// `combineResults`, and Refused if there is no peer.
 template<typename OwnIntake, typename AskPeer>
 Awaitable<IntakeResult> handIn(OwnIntake &intake, AskPeer askPeer, std::string job,
                                std::string record, Instant deadline)
@@ -35,7 +38,7 @@
     if (own == IntakeResult::Stored || own == IntakeResult::Known || bootNow() >= deadline)
         co_return own;
     const auto peer = co_await askPeer(std::move(job), std::move(record));
-    co_return combine(own, peer);
+    co_return combineResults(own, peer);
 }
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/intake.h
+++ b/packages/coordination/include/sassafrasferry/coordination/intake.h
@@ -1,5 +1,5 @@
-// Takes jobs and cancellations in: into the store first, many in a transaction, and only then is
-// the caller told.
+// Accepts submitted jobs: stores them in batches, one transaction per batch, and confirms a job to
+// its caller only after the job is stored.
 #pragma once
 
 #include <sassafrasferry/coordination/job_rows.h>
@@ -18,12 +18,12 @@
 
 namespace sassafrasferry::coordination {
 
-/// What became of a job that was handed in.
+/// Outcome of storing a submitted job.
 enum class IntakeResult {
     Stored,
-    Known, ///< it was stored before
-    Refused, ///< nothing was stored, and nothing will be
-    Unknown, ///< it may be stored, now or later
+    Known, ///< a row of the job existed before
+    Refused, ///< the job was not stored and will not be stored later
+    Unknown, ///< the job may be stored now or later
 };
 
 constexpr auto enumNames(IntakeResult)
@@ -45,14 +45,15 @@
         , executor(std::move(executor))
     {}
 
-    /// Stores a job unless a row of it exists. Gives up at the deadline, or once the store has been
-    /// silent for a while: the caller has then time left to ask another entry VM.
+    /// Stores a job unless a row of it exists. Gives up at the deadline, or earlier if the store
+    /// does not answer for `unansweredTimeout`, which leaves the caller time to try another entry
+    /// VM.
     ///
-    /// While the store fails, one job at a time finds out whether it still does; the others are
-    /// refused at once, so that their callers can try another entry VM in time.
+    /// While the store fails, one job at a time is tried as a probe; all others are refused at
+    /// once, so that their callers can try another entry VM in time.
     Awaitable<IntakeResult> submit(std::string job, std::string record, Instant deadline)
     {
-        if (this->mustRefuse(partOf(job)))
+        if (this->isRefusing(partOf(job)))
             co_return IntakeResult::Refused;
         co_return co_await http::awaitCallback<IntakeResult>([&](auto done) {
             const auto part = partOf(job);
@@ -63,24 +64,24 @@
             item->done = std::move(done);
             this->queues[part].push_back(item);
             spawn(
-                this->executor, "intake patience", [item] { return giveUpLate(item); },
+                this->executor, "intake patience", [item] { return answerAtTimeout(item); },
                 [](const std::string &) {});
-            this->begin(part);
+            this->startCommitting(part);
         });
     }
 
-    /// How long the store has been failing; zero while it does not.
+    /// How long the store has been failing; zero if it is not failing.
     Duration failingFor() const
     {
-        return this->fails ? bootNow() - this->failsSince : Duration::zero();
+        return this->isFailing ? bootNow() - this->failingSince : Duration::zero();
     }
 
 private:
-    bool mustRefuse(const std::string &part) const
+    bool isRefusing(const std::string &part) const
     {
-        const auto at = this->busy.find(part);
-        const bool isBusy = at != this->busy.end() && at->second;
-        return this->fails && (isBusy || bootNow() - this->failedAt < probePause);
+        const auto at = this->activeParts.find(part);
+        const bool isProbing = at != this->activeParts.end() && at->second;
+        return this->isFailing && (isProbing || bootNow() - this->lastFailureAt < probePause);
     }
 
     struct Item
@@ -88,10 +89,10 @@
         std::string job;
         std::string record;
         Instant deadline;
-        Instant begunAt = bootNow();
-        bool isSent = false; // a transaction that holds it is under way
-        bool mayBeStored = false; // a transaction that held it had no answer
-        std::function<void(IntakeResult)> done; // empty once answered
+        Instant submittedAt = bootNow();
+        bool isSent = false; // a transaction with this job is in progress
+        bool mayBeStored = false; // a transaction with this job got no answer
+        std::function<void(IntakeResult)> done; // empty after the answer
 
         void answer(IntakeResult result)
         {
@@ -102,54 +103,55 @@
 
     using Batch = std::deque<std::shared_ptr<Item>>;
 
-    // Bounds of a transaction: entries, with three to a job, and bytes.
-    static constexpr std::size_t mostJobs = 30;
-    static constexpr std::size_t mostBytes = 400UL * 1024;
+    // Limits of a transaction. Each job takes three entries: two conditions and a put.
+    static constexpr std::size_t maxBatchJobs = 30;
+    static constexpr std::size_t maxBatchBytes = 400UL * 1024;
     static constexpr auto retryPause = std::chrono::milliseconds(60);
     static constexpr auto probePause = std::chrono::milliseconds(250);
-    static constexpr int missesOfFailure = 2;
-    // A refusal by the store is tried again for this long; callers can do more with the rest.
-    static constexpr auto patience = std::chrono::milliseconds(300);
-    // The same for a store that does not answer at all.
-    static constexpr Duration silentPatience = std::chrono::milliseconds(1200);
-
-    // A transaction without an answer takes longer to fail than its callers wait.
-    static Awaitable<void> giveUpLate(std::shared_ptr<Item> item)
+    static constexpr int unansweredLimit = 2;
+    // A transaction that the store refuses is retried for this time. The callers need the rest of
+    // their time to try another entry VM.
+    static constexpr auto refusalRetryTime = std::chrono::milliseconds(300);
+    // A job is given up after this time if the store does not answer at all.
+    static constexpr Duration unansweredTimeout = std::chrono::milliseconds(1200);
+
+    // Answers a job whose transaction takes longer to fail than the job's caller waits.
+    static Awaitable<void> answerAtTimeout(std::shared_ptr<Item> item)
     {
-        co_await pause(std::min(silentPatience, item->deadline - bootNow()));
+        co_await pause(std::min(unansweredTimeout, item->deadline - bootNow()));
         const bool mayBeStored = item->isSent || item->mayBeStored;
         item->answer(mayBeStored ? IntakeResult::Unknown : IntakeResult::Refused);
     }
 
-    void begin(const std::string &part)
+    void startCommitting(const std::string &part)
     {
-        if (std::exchange(this->busy[part], true))
+        if (std::exchange(this->activeParts[part], true))
             return;
         spawn(
-            this->executor, "intake " + part, [this, part] { return this->work(part); },
-            [this, part](const std::string &) { this->busy[part] = false; });
+            this->executor, "intake " + part, [this, part] { return this->commitQueued(part); },
+            [this, part](const std::string &) { this->activeParts[part] = false; });
     }
 
-    Awaitable<void> work(std::string part)
+    Awaitable<void> commitQueued(std::string part)
     {
         auto &queue = this->queues[part];
         while (!queue.empty()) {
             Batch batch;
             std::size_t bytes = 0;
-            while (!queue.empty() && batch.size() < mostJobs && bytes < mostBytes) {
+            while (!queue.empty() && batch.size() < maxBatchJobs && bytes < maxBatchBytes) {
                 bytes += queue.front()->record.size();
                 batch.push_back(std::move(queue.front()));
                 queue.pop_front();
             }
             co_await this->commit(part, std::move(batch));
         }
-        this->busy[part] = false;
+        this->activeParts[part] = false;
     }
 
     Awaitable<void> commit(const std::string &part, Batch batch)
     {
         for (;;) {
-            // What was refused meanwhile must not be stored any more.
+            // Jobs that were answered as refused in the meantime must not be stored.
             std::erase_if(batch, [](const auto &item) { return !item->done; });
             if (batch.empty())
                 co_return;
@@ -165,40 +167,40 @@
             for (const auto &item : batch)
                 item->isSent = false;
             if (answer.state == store::CommitState::Committed) {
-                this->fails = false;
+                this->isFailing = false;
                 this->unanswered = 0;
                 for (const auto &item : batch)
                     item->answer(IntakeResult::Stored);
                 co_return;
             }
             const auto now = bootNow();
-            this->noteFailure(answer.state, now);
+            this->recordFailure(answer.state, now);
             if (answer.state == store::CommitState::Conflict)
-                this->answerKnown(batch, answer.current);
+                this->answerAlreadyStored(batch, answer.current);
             for (const auto &item : batch)
                 item->mayBeStored |= answer.state == store::CommitState::Unknown;
-            this->answerLate(batch, now);
+            this->answerExpired(batch, now);
             if (answer.state != store::CommitState::Conflict)
                 co_await pause(retryPause);
         }
     }
 
-    // One answer that does not come may be lost, or come from a store that has just become slow; to
-    // refuse all other callers for it would turn away jobs that can be stored.
-    void noteFailure(store::CommitState state, Instant now)
+    // A single missing answer may have been lost, or the store may have become slow a moment ago.
+    // Treating it as a failure would refuse other callers' jobs that can be stored.
+    void recordFailure(store::CommitState state, Instant now)
     {
         const bool isUnknown = state == store::CommitState::Unknown;
         this->unanswered = isUnknown ? this->unanswered + 1 : 0;
         const bool failed =
-            state == store::CommitState::NotApplied || this->unanswered >= missesOfFailure;
-        if (failed && !this->fails)
-            this->failsSince = now;
+            state == store::CommitState::NotApplied || this->unanswered >= unansweredLimit;
+        if (failed && !this->isFailing)
+            this->failingSince = now;
         if (failed)
-            this->failedAt = now;
-        this->fails = failed;
+            this->lastFailureAt = now;
+        this->isFailing = failed;
     }
 
-    void answerKnown(const Batch &batch, const std::vector<store::PartRow> &rows)
+    void answerAlreadyStored(const Batch &batch, const std::vector<store::PartRow> &rows)
     {
         for (const auto &item : batch) {
             const bool exists = std::any_of(rows.begin(), rows.end(), [&](const auto &row) {
@@ -209,24 +211,25 @@
         }
     }
 
-    void answerLate(const Batch &batch, Instant now)
+    void answerExpired(const Batch &batch, Instant now)
     {
         for (const auto &item : batch) {
-            const bool isLate =
-                now >= item->deadline || (!item->mayBeStored && now - item->begunAt > patience);
-            if (isLate)
+            const bool isExpired =
+                now >= item->deadline
+                || (!item->mayBeStored && now - item->submittedAt > refusalRetryTime);
+            if (isExpired)
                 item->answer(item->mayBeStored ? IntakeResult::Unknown : IntakeResult::Refused);
         }
     }
 
     Store &store;
     http::asio::any_io_executor executor;
-    std::map<std::string, Batch> queues; // by part
-    std::map<std::string, bool> busy; // a transaction of the part is under way
-    bool fails = false; // the last transaction was refused, or several had no answer
-    int unanswered = 0; // transactions in a row
-    Instant failsSince{};
-    Instant failedAt{}; // the last time
+    std::map<std::string, Batch> queues; // waiting jobs by part
+    std::map<std::string, bool> activeParts; // by part: whether its queue is being committed
+    bool isFailing = false; // the last transaction was refused, or several in a row got no answer
+    int unanswered = 0; // consecutive transactions without an answer
+    Instant failingSince{};
+    Instant lastFailureAt{};
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/src/hand_in_test.cpp
+++ b/packages/coordination/src/hand_in_test.cpp
@@ -1,4 +1,4 @@
-// Jobs handed in at an entry VM that the store does not serve.
+// Jobs submitted to an entry VM that the store does not serve are stored through a peer.
 #include <sassafrasferry/coordination/hand_in.h>
 
 #include <boost/asio/io_context.hpp>
@@ -35,15 +35,16 @@
 
 } // namespace
 
-// A caller that was told "refused" of a job that a peer had stored would see it run all the same.
-TEST_CASE("A job is refused only if nobody can have stored it")
+// Guards against answering "refused" for a job that a peer has stored: the job would run although
+// its caller was told that it won't.
+TEST_CASE("A job is refused only if neither this entry VM nor a peer can have stored it")
 {
     const auto row = GENERATE(from_range(combinations));
     CAPTURE(model::nameOf(row.own), row.peer.has_value());
-    CHECK(combine(row.own, row.peer) == row.result);
+    CHECK(combineResults(row.own, row.peer) == row.result);
 }
 
-TEST_CASE("A job that the store refuses here is stored through a peer in time")
+TEST_CASE("A job that the store refuses is stored through a peer before the deadline")
 {
     http::asio::io_context context;
     MemoryStore away;
--- a/packages/coordination/src/intake_test.cpp
+++ b/packages/coordination/src/intake_test.cpp
@@ -1,4 +1,4 @@
-// Jobs handed in while the store is silent, for some callers or for all.
+// Jobs submitted while the store doesn't answer or refuses writes.
 #include <sassafrasferry/coordination/intake.h>
 
 #include <boost/asio/io_context.hpp>
@@ -13,31 +13,31 @@
 
 namespace {
 
-/// How a job that was handed in ended, and after how long.
-struct Ended
+/// Outcome of a submission, and the time it took.
+struct Submission
 {
     std::optional<IntakeResult> result;
-    Duration after{};
+    Duration duration{};
 };
 
 struct World
 {
-    void submit(const std::string &job, Ended &ended)
+    void submit(const std::string &job, Submission &submission)
     {
-        spawn(this->context.get_executor(), job, [this, job, &ended]() -> Awaitable<void> {
+        spawn(this->context.get_executor(), job, [this, job, &submission]() -> Awaitable<void> {
             const auto begin = bootNow();
             const auto result = co_await this->intake.submit(job, "record", begin + 2600ms);
-            ended.result = result;
-            ended.after = bootNow() - begin;
+            submission.result = result;
+            submission.duration = bootNow() - begin;
         });
     }
 
-    void runUntilEnded(const std::vector<Ended *> &all)
+    void runUntilAnswered(const std::vector<Submission *> &all)
     {
-        const auto isOpen = [](const Ended *ended) {
-            return !ended->result;
+        const auto isPending = [](const Submission *submission) {
+            return !submission->result;
         };
-        while (std::any_of(all.begin(), all.end(), isOpen))
+        while (std::any_of(all.begin(), all.end(), isPending))
             this->context.run_one();
     }
 
@@ -46,7 +46,7 @@
     Intake<MemoryStore> intake{store, context.get_executor()};
 };
 
-/// Two jobs of one part: the second has to wait for the first one's transaction.
+/// Two jobs of the same part: the second waits until the transaction of the first has ended.
 std::pair<std::string, std::string> jobsOfOnePart()
 {
     const std::string first = "a0";
@@ -59,36 +59,38 @@
 
 } // namespace
 
-// A caller waited for its whole deadline at the one entry VM that the store did not answer.
-TEST_CASE("A silent store is given up while its callers can still ask another entry VM")
+// Guards against a caller that waits until its deadline at an entry VM that gets no answer from the
+// store, and then has no time left to try another entry VM.
+TEST_CASE("A submission to a store without answers ends while the caller can try another entry VM")
 {
     World world;
     world.store.delay = 5s;
-    Ended sent;
-    Ended waiting;
+    Submission sent;
+    Submission waiting;
     const auto [first, second] = jobsOfOnePart();
     world.submit(first, sent);
     world.context.run_for(50ms);
     world.submit(second, waiting);
-    world.runUntilEnded({&sent, &waiting});
-    CHECK(sent.result == IntakeResult::Unknown); // it may be stored yet
+    world.runUntilAnswered({&sent, &waiting});
+    CHECK(sent.result == IntakeResult::Unknown); // it may still be stored
     CHECK(waiting.result == IntakeResult::Refused);
-    CHECK(sent.after < 2s);
-    CHECK(waiting.after < 2s);
+    CHECK(sent.duration < 2s);
+    CHECK(waiting.duration < 2s);
 }
 
-// A refused job that was stored after all would run, though its caller was told that it never will.
-TEST_CASE("A job that was refused while it waited is not stored later")
+// Guards against storing a job after it was refused: it would run although its caller was told that
+// it won't.
+TEST_CASE("A job that was refused while it waited for a transaction is not stored later")
 {
     World world;
     world.store.delay = 1500ms;
-    Ended sent;
-    Ended waiting;
+    Submission sent;
+    Submission waiting;
     const auto [first, second] = jobsOfOnePart();
     world.submit(first, sent);
     world.context.run_for(50ms);
     world.submit(second, waiting);
-    world.runUntilEnded({&sent, &waiting});
+    world.runUntilAnswered({&sent, &waiting});
     REQUIRE(waiting.result == IntakeResult::Refused);
     world.context.run_for(3500ms);
     world.store.delay = 0ms;
@@ -103,20 +105,20 @@
     CHECK(stored == 0);
 }
 
-TEST_CASE("A store that refuses is known to fail until it stores again")
+TEST_CASE("The store counts as failing from its first refusal until it stores a job")
 {
     World world;
     world.store.isAway = true;
-    Ended refused;
+    Submission refused;
     world.submit("a0", refused);
-    world.runUntilEnded({&refused});
+    world.runUntilAnswered({&refused});
     CHECK(refused.result == IntakeResult::Refused);
     CHECK(world.intake.failingFor() > 200ms);
     world.store.isAway = false;
     world.context.run_for(300ms);
-    Ended stored;
+    Submission stored;
     world.submit("a0", stored);
-    world.runUntilEnded({&stored});
+    world.runUntilAnswered({&stored});
     CHECK(stored.result == IntakeResult::Stored);
     CHECK(world.intake.failingFor() == Duration::zero());
 }
--- a/packages/coordination/tests/memory_store.h
+++ b/packages/coordination/tests/memory_store.h
@@ -1,4 +1,4 @@
-// A store of rows in memory, with faults.
+// An in-memory store of rows with fault injection.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -10,21 +10,21 @@
 
 namespace sassafrasferry::coordination {
 
-/// What its reads of one table do.
+/// Fault to inject into scans of `MemoryStore::faultyTable`.
 enum class ReadFault {
     None,
     Throws,
     Fails,
 };
 
-/// Satisfies `store::PartStore`. Conditions are checked; a feed never brings anything.
+/// Satisfies `store::PartStore`. Commits check their conditions; feeds always fail.
 class MemoryStore
 {
 public:
     ReadFault fault = ReadFault::None;
     std::string faultyTable;
-    std::chrono::milliseconds delay{0}; ///< of each answer
-    bool isAway = false; ///< commits are refused
+    std::chrono::milliseconds delay{0}; ///< before each answer of `commit` and `scan`
+    bool isAway = false; ///< whether commits are refused
 
     http::Awaitable<store::PartCommit> commit(store::PartTransaction transaction)
     {
@@ -72,7 +72,7 @@
     http::Awaitable<absl::StatusOr<store::FeedPage>> feed(std::string, std::int64_t,
                                                           std::chrono::milliseconds)
     {
-        co_return absl::UnavailableError("no feeds here");
+        co_return absl::UnavailableError("MemoryStore has no feeds");
     }
 
 private:
