--- a/packages/coordination/include/sassafrasferry/coordination/caller_request.h
+++ b/packages/coordination/include/sassafrasferry/coordination/caller_request.h
@@ -1,4 +1,4 @@
-// What callers' requests about jobs say besides their body, and the answers that many share.
+// Parses the headers and job ids of callers' job requests, and builds their common responses.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -9,19 +9,20 @@
 
 namespace sassafrasferry::coordination {
 
-/// The host that was asked, without a port; empty if none is named.
+/// Host of the request's `Host` header without the port; empty if there is no such header.
 std::string_view hostOf(const http::Request &request);
 
-/// Until when an answer reaches the caller in time. `patienceHeader` tells how many milliseconds
-/// the caller waits.
+/// Latest time to answer so that the response reaches the caller while it still waits. The header
+/// `patienceHeader` holds how many milliseconds the caller waits.
 Instant deadlineOf(const http::Request &request, const std::string &patienceHeader);
 
 bool isJobId(const std::string &text);
 
-/// Nothing was done; the caller may come back after the wait.
+/// Response 503 with a `Retry-After` header: the caller may repeat the request after the wait.
 http::Response retryLater(const std::string &why,
                           std::chrono::seconds wait = std::chrono::seconds(1));
 
+/// Response 410.
 http::Response noSuchJob();
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/decision_log.h
+++ b/packages/coordination/include/sassafrasferry/coordination/decision_log.h
@@ -1,4 +1,4 @@
-// The leader's log lines about its decisions.
+// Log lines about the leader's scheduling decisions and the load of services.
 #pragma once
 
 #include <sassafrasferry/coordination/timing.h>
@@ -10,11 +10,11 @@
 
 namespace sassafrasferry::coordination {
 
-/// The notes of a round, as one record of many lines: a record each costs the leader more than the
-/// decisions themselves.
+/// Logs the notes of a scheduling round as one log record of many lines. A record for each note
+/// would cost the leader more time than the decisions themselves.
 void tellRound(const std::vector<scheduling::DecisionNote> &notes, Instant at);
 
-/// A line for each service: what it has to do, and with what.
+/// Logs one line per service with its queued and running work and its capacity.
 void tellLoads(const std::map<std::string, scheduling::ServiceLoad> &loads);
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/job_book.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_book.h
@@ -1,4 +1,4 @@
-// What a new leader learns of jobs from the store's rows.
+// Loads jobs and cancellations from the store's rows into a new leader's scheduler.
 #pragma once
 
 #include <sassafrasferry/messages/jobs.pb.h>
@@ -11,28 +11,28 @@
 
 namespace sassafrasferry::coordination {
 
-/// Hands the rows of jobs to the scheduler: first all rows of progress, then those of the intake,
-/// then each change of the intake as it comes.
+/// Adds jobs to the scheduler from the store's rows. The order is: all rows of the progress table,
+/// all rows of the intake table, then each change of the intake table.
 class JobBook
 {
 public:
     explicit JobBook(scheduling::Scheduler &scheduler);
 
-    /// Rows of how far jobs have come. Only before the first rows of the intake.
+    /// Takes rows of the progress table. Must be called before the first `takeIntake`.
     void takeProgress(const std::vector<store::PartRow> &rows);
 
-    /// Returns the jobs whose cancellation has a row, and that were not over.
+    /// Takes rows of the intake table. Returns the jobs that a row cancels and that had not ended.
     std::vector<std::string> takeIntake(const std::vector<store::PartRow> &rows);
 
-    /// True once all jobs that stood in the store are known.
+    /// True after the first `takeIntake`: all jobs that were in the store have been added.
     bool isComplete() const;
 
 private:
-    void takeJob(const std::string &id, const std::string &bytes);
-    void addOver(const std::string &id, scheduling::JobState state);
+    void addStored(const std::string &id, const std::string &bytes);
+    void addFinished(const std::string &id, scheduling::JobState state);
 
     scheduling::Scheduler &scheduler;
-    std::map<std::string, messages::JobProgress> inherited; // until the intake is known
+    std::map<std::string, messages::JobProgress> storedProgress; // by job; empty once complete
     bool complete = false;
 };
 
--- a/packages/coordination/include/sassafrasferry/coordination/job_desk.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_messenger.h
@@ -1,4 +1,5 @@
-// Questions about jobs between entry VMs: whoever does not lead asks the one that does.
+// Request/reply messages about jobs between the peer ports of entry VMs. A follower asks the
+// leader; a job that the store refuses is handed in through a peer.
 #pragma once
 
 #include <sassafrasferry/coordination/call_numbers.h>
@@ -14,7 +15,7 @@
 
 namespace sassafrasferry::coordination {
 
-class JobDesk
+class JobMessenger
 {
 public:
     using Answer = std::optional<messages::JobAnswer>;
@@ -22,19 +23,20 @@
     using OnHandIn = std::function<Awaitable<messages::JobAnswer>(messages::HandIn)>;
     using OnEnvelope = std::function<void(const messages::JobEnvelope &)>;
 
-    /// `onOther` takes what is neither a question nor an answer.
-    JobDesk(http::asio::io_context &context, model::Endpoint self, OnQuestion onQuestion,
-            OnHandIn onHandIn, OnEnvelope onOther);
+    /// `onOther` receives each envelope that holds neither a question nor an answer.
+    JobMessenger(http::asio::io_context &context, model::Endpoint self, OnQuestion onQuestion,
+                 OnHandIn onHandIn, OnEnvelope onOther);
 
     absl::Status open();
-    /// Asks; nothing if no answer comes in time.
+
+    /// Sends a question and waits for the answer; `nullopt` if none arrives before the timeout.
     Awaitable<Answer> ask(const model::Endpoint &peer, messages::JobQuestion question,
                           Duration timeout);
 
     bool send(const model::Endpoint &peer, const messages::JobEnvelope &envelope);
 
 private:
-    struct Pending
+    struct PendingQuestion
     {
         std::shared_ptr<http::asio::steady_timer> timer;
         std::function<void(Answer)> done;
@@ -52,7 +54,7 @@
     OnEnvelope onOther;
     peer::MessagePort port;
     CallNumbers numbers;
-    std::map<std::uint64_t, Pending> pending; // by number of the question
+    std::map<std::uint64_t, PendingQuestion> pending; // by question number
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/job_node.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_node.h
@@ -1,11 +1,11 @@
-// An entry VM as part of the scheduler of jobs: it takes callers' requests, follows the
-// configuration, and leads when the lease falls to it.
+// An entry VM's part in job scheduling: it serves callers' job requests, follows the operators'
+// table, and runs the leader while it holds the lease.
 #pragma once
 
 #include <sassafrasferry/coordination/caller_request.h>
 #include <sassafrasferry/coordination/hand_in.h>
 #include <sassafrasferry/coordination/intake.h>
-#include <sassafrasferry/coordination/job_desk.h>
+#include <sassafrasferry/coordination/job_messenger.h>
 #include <sassafrasferry/coordination/leader.h>
 #include <sassafrasferry/coordination/operator_rows.h>
 #include <sassafrasferry/coordination/spawn.h>
@@ -18,17 +18,17 @@
 
 namespace sassafrasferry::coordination {
 
-/// Addresses and times of one entry VM.
+/// Name, addresses and timing of one entry VM.
 struct NodeOptions
 {
     std::string name;
-    model::Endpoint peer; ///< its peer port
+    model::Endpoint peer; ///< address of this entry VM's peer port
     scheduling::SchedulerTimes times;
     LeadershipTimes leadership;
     Duration handOverDelay =
-        std::chrono::milliseconds(3000); ///< between two leaders' orders about a VM
-    Duration stopWithin = std::chrono::milliseconds(5000); ///< from the stop signal to the end
-    double cores = 1.0; ///< the processor of this entry VM
+        std::chrono::milliseconds(3000); ///< minimum time between two leaders' orders about a VM
+    Duration stopWithin = std::chrono::milliseconds(5000); ///< from stop signal to exit
+    double cores = 1.0; ///< processor cores of this entry VM
 };
 
 template<JobPlatform Platform>
@@ -47,19 +47,19 @@
         , intake(store, this->executor)
         , stored(store)
         , operatorRows(this->operatorEvents())
-        , desk(
+        , messenger(
               context, this->options.peer,
               [this](const auto &question) { return this->answer(question); },
-              [this](auto handedIn) { return this->takeHandIn(std::move(handedIn)); },
-              [this](const auto &envelope) { this->takeOther(envelope); })
+              [this](auto handedIn) { return this->handleHandIn(std::move(handedIn)); },
+              [this](const auto &envelope) { this->dispatchEnvelope(envelope); })
         , relay(this->executor, this->options.peer,
                 [this](const auto &peer, const auto &envelope) {
-                    return this->desk.send(peer, envelope);
+                    return this->messenger.send(peer, envelope);
                 })
         , agent(std::make_shared<CallAgent<typename Platform::Worker>>(
               this->executor,
               [this](const auto &peer, const auto &envelope) {
-                  return this->desk.send(peer, envelope);
+                  return this->messenger.send(peer, envelope);
               }))
         , successors(this->options.cores)
         , leadership(store, this->options.name, this->options.peer, http::unixNow(),
@@ -73,13 +73,13 @@
 
     absl::Status begin()
     {
-        auto status = this->desk.open();
+        auto status = this->messenger.open();
         if (!status.ok())
             return status;
         auto self = this->shared_from_this();
         this->operators = std::make_shared<TableFollower<Store>>(
             this->store, FollowOptions{Platform::operatorTable(), {""}},
-            [self](const auto &rows, bool) { self->operatorRows.take(rows); });
+            [self](const auto &rows, bool) { self->operatorRows.apply(rows); });
         this->operators->begin(this->executor);
         spawn(this->executor, "leadership", [self] {
             return restarted("leadership", [self] { return self->leadership.run(); });
@@ -89,21 +89,22 @@
         return absl::OkStatus();
     }
 
-    /// True while callers should be sent here.
+    /// True while the load balancer should route callers to this entry VM.
     bool isReady() const
     {
         return !this->stopping && this->configuration().version > 0
-               && bootNow() - this->operators->lastAnswer() < storeSilence;
+               && bootNow() - this->operators->lastAnswer() < maxStoreSilence;
     }
 
-    /// No further callers should be sent here.
+    /// Makes `isReady` false, so that no further callers are routed here.
     void beginStop()
     {
         this->stopping = true;
     }
 
-    /// Gives the lease up, after the last orders. While the store is away nobody could take it, so
-    /// this entry VM leads on until the store is back, at most until `latest`.
+    /// Releases the lease after this leader's last orders, and records in it the VMs of recent
+    /// orders. While the store is unreachable no other entry VM can acquire the lease, so this one
+    /// keeps leading until the store answers again, at most until `latest`.
     Awaitable<void> handOver(Instant latest)
     {
         co_await this->leadership.awaitConfirmation(latest);
@@ -119,21 +120,21 @@
             co_return retryLater("no configuration yet");
         const auto *queue = this->configuration().route(host, path);
         if (!queue) {
-            // The queue may be newer than what this entry VM knows.
+            // The queue may have been added in a configuration that is not yet known here.
             if (!co_await this->operators->refresh())
                 co_return retryLater("the configuration can't be read");
             queue = this->configuration().route(host, path);
         }
         if (!queue)
             co_return http::textResponse(http::Status::not_found, "no such queue\n");
-        const auto known = *queue; // the configuration may change while this request waits
-        const auto job = path.substr(known.prefix.size());
+        const auto route = *queue; // a copy: the configuration may change during the awaits
+        const auto job = path.substr(route.prefix.size());
         switch (request.method()) {
         case http::Verb::post:
-            co_return co_await this->submit(known, job, request);
+            co_return co_await this->submit(route, job, request);
         case http::Verb::get:
             if (job.empty())
-                co_return co_await this->pending(known);
+                co_return co_await this->pending(route);
             co_return co_await this->state(job);
         case http::Verb::delete_:
             co_return co_await this->cancel(job, deadlineOf(request, Platform::patienceHeader()));
@@ -143,13 +144,16 @@
     }
 
 private:
-    // A feed of the operators' table answers at least this often while the store is there.
-    static constexpr auto storeSilence = std::chrono::milliseconds(4500);
-    // A leader that the store does not confirm may miss jobs that were accepted elsewhere.
-    static constexpr auto countFreshness = std::chrono::milliseconds(1500);
+    // Not ready after this time without an answer from the store. The feed of the operators' table
+    // answers at least this often while the store is reachable.
+    static constexpr auto maxStoreSilence = std::chrono::milliseconds(4500);
+    // Pending counts are answered, and the lease is handed to a stronger entry VM, only if the
+    // store confirmed the lease within this time: a leader that is not confirmed may miss jobs that
+    // other entry VMs accepted.
+    static constexpr auto maxConfirmationAge = std::chrono::milliseconds(1500);
     static constexpr auto helloPeriod = std::chrono::milliseconds(250);
-    static constexpr auto askTimeout = std::chrono::milliseconds(400);
-    static constexpr Duration handInPatience = std::chrono::milliseconds(900);
+    static constexpr auto questionTimeout = std::chrono::milliseconds(400);
+    static constexpr Duration maxHandInWait = std::chrono::milliseconds(900);
 
     Awaitable<http::Response> submit(const scheduling::Queue &queue, const std::string &job,
                                      const http::Request &request)
@@ -187,12 +191,13 @@
         case IntakeResult::Unknown:
             break;
         }
-        // Not a refusal: the job may be stored, or may yet be.
+        // Not answered as a refusal, because the job may be stored now or later.
         co_return http::textResponse(http::Status::gateway_timeout, "ask again\n");
     }
 
-    // A leader knows its peers by their hellos.
-    std::optional<model::Endpoint> peerForHandIn() const
+    // The peer that stores a job in place of this entry VM: the leader if that is another entry VM,
+    // else the strongest of the peers that sent hellos here. Entry VMs send hellos to the leader.
+    std::optional<model::Endpoint> handInPeer() const
     {
         auto leader = this->otherLeader();
         if (leader)
@@ -203,29 +208,30 @@
     Awaitable<std::optional<IntakeResult>> handInThroughPeer(std::string job, std::string record,
                                                              Instant deadline)
     {
-        const auto peer = this->peerForHandIn();
+        const auto peer = this->handInPeer();
         if (!peer)
             co_return IntakeResult::Refused;
-        const auto patience = std::min<Duration>(deadline - bootNow(), handInPatience);
+        const auto patience = std::min<Duration>(deadline - bootNow(), maxHandInWait);
         messages::JobQuestion question;
         auto &handedIn = *question.mutable_hand_in();
         handedIn.set_job(job);
         handedIn.set_record(std::move(record));
         handedIn.set_patience_milliseconds(
             static_cast<std::uint32_t>(patience / std::chrono::milliseconds(1)));
-        const auto answer = co_await this->desk.ask(*peer, question, patience + askTimeout / 2);
+        const auto answer =
+            co_await this->messenger.ask(*peer, question, patience + questionTimeout / 2);
         LOG(INFO) << "event=hand-in job=" << job << " peer=" << model::toString(*peer)
                   << " answered=" << answer.has_value()
                   << " result=" << (answer ? answer->hand_in_result() : 0);
         if (!answer)
             co_return std::nullopt;
-        // An entry VM of an earlier version has done nothing.
+        // 0: the peer runs an earlier version without hand-ins and has stored nothing.
         if (answer->hand_in_result() == 0)
             co_return IntakeResult::Refused;
         co_return static_cast<IntakeResult>(answer->hand_in_result() - 1);
     }
 
-    Awaitable<messages::JobAnswer> takeHandIn(messages::HandIn handedIn)
+    Awaitable<messages::JobAnswer> handleHandIn(messages::HandIn handedIn)
     {
         const auto patience = std::chrono::milliseconds(handedIn.patience_milliseconds());
         const auto deadline = bootNow() + patience;
@@ -246,11 +252,11 @@
         } else if (const auto address = this->otherLeader()) {
             messages::JobQuestion question;
             question.set_job(job);
-            const auto answer = co_await this->desk.ask(*address, question, askTimeout);
+            const auto answer = co_await this->messenger.ask(*address, question, questionTimeout);
             if (answer && answer->leads() && answer->ready())
                 state = static_cast<scheduling::JobState>(answer->state());
         }
-        // The leader may not have heard of a job that was stored just now.
+        // The leader may not yet have read a job that was stored just now.
         if (!state || *state == scheduling::JobState::Unknown)
             state = co_await this->stored.stateOf(job);
         if (!state)
@@ -285,12 +291,12 @@
     Awaitable<http::Response> pending(const scheduling::Queue &queue)
     {
         if (this->leader && this->leader->isReady()
-            && this->leadership.sinceConfirmed() < countFreshness)
+            && this->leadership.sinceConfirmed() < maxConfirmationAge)
             co_return pendingResponse(this->leader->jobs().pendingOf(queue.terms.queue));
         if (const auto address = this->otherLeader()) {
             messages::JobQuestion question;
             question.set_queue(queue.terms.queue);
-            const auto answer = co_await this->desk.ask(*address, question, askTimeout);
+            const auto answer = co_await this->messenger.ask(*address, question, questionTimeout);
             if (answer && answer->leads() && answer->counts())
                 co_return pendingResponse(answer->pending());
         }
@@ -313,14 +319,14 @@
     messages::JobAnswer answer(const messages::JobQuestion &question)
     {
         messages::JobAnswer answer;
-        this->noteAsker(question);
+        this->recordPeer(question);
         answer.set_leads(this->leadership.leads());
         answer.set_leaving(this->stopping);
         answer.set_lease_version(this->leadership.leaseVersion());
         answer.set_ready(this->leader && this->leader->isReady());
         if (!answer.ready())
             return answer;
-        answer.set_counts(this->leadership.sinceConfirmed() < countFreshness);
+        answer.set_counts(this->leadership.sinceConfirmed() < maxConfirmationAge);
         auto &jobs = this->leader->jobs();
         if (!question.job().empty())
             answer.set_state(static_cast<std::uint32_t>(jobs.stateOf(question.job())));
@@ -337,7 +343,8 @@
             } else if (const auto address = this->otherLeader()) {
                 messages::JobQuestion question;
                 question.set_cores(this->isReady() ? this->options.cores : 0);
-                const auto answer = co_await this->desk.ask(*address, question, askTimeout);
+                const auto answer =
+                    co_await this->messenger.ask(*address, question, questionTimeout);
                 if (answer && answer->leads() && !answer->leaving())
                     this->leadership.heard(answer->lease_version());
                 else if (answer)
@@ -347,7 +354,7 @@
         }
     }
 
-    void takeOther(const messages::JobEnvelope &envelope)
+    void dispatchEnvelope(const messages::JobEnvelope &envelope)
     {
         if (envelope.has_calls())
             this->agent->take(envelope.calls());
@@ -404,7 +411,8 @@
         return this->leader ? this->leader->orderedVms() : std::vector<std::string>{};
     }
 
-    // Not at once: what failed may be what called here.
+    // Runs in a coroutine of its own: the caller may be the part of the leader that failed, and
+    // stepping down destroys the leader.
     void stepDown(const std::string &why, const std::string &successor)
     {
         spawn(this->executor, "step-down", [self = this->shared_from_this(), why, successor] {
@@ -412,7 +420,7 @@
         });
     }
 
-    void noteAsker(const messages::JobQuestion &question)
+    void recordPeer(const messages::JobQuestion &question)
     {
         if (const auto peer = model::parseEndpoint(question.address()))
             this->relay.heard(*peer);
@@ -422,8 +430,8 @@
     void handOverToStronger()
     {
         const auto successor = this->successors.better(bootNow());
-        if (!successor.empty() && this->leadership.sinceConfirmed() < countFreshness)
-            this->stepDown("a stronger entry VM is there", successor);
+        if (!successor.empty() && this->leadership.sinceConfirmed() < maxConfirmationAge)
+            this->stepDown("a stronger entry VM is available", successor);
     }
 
     void dropLeader()
@@ -442,13 +450,13 @@
     Intake<Store> intake;
     StoredJobs<Store> stored;
     OperatorRows<Platform> operatorRows;
-    JobDesk desk;
+    JobMessenger messenger;
     CallRelay relay;
     std::shared_ptr<CallAgent<typename Platform::Worker>> agent;
     SuccessorChoice successors;
     Leadership<Store> leadership;
-    std::shared_ptr<TableFollower<Store>> operators; // their table of the store
-    std::shared_ptr<Leader<Platform>> leader; // while this entry VM leads
+    std::shared_ptr<TableFollower<Store>> operators; // follows the operators' table
+    std::shared_ptr<Leader<Platform>> leader; // null unless this entry VM leads
     bool stopping = false;
 };
 
--- a/packages/coordination/include/sassafrasferry/coordination/job_platform.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_platform.h
@@ -1,4 +1,4 @@
-// How the scheduler of jobs is tied to its platform.
+// Requirements on the platform that the job scheduler runs on.
 #pragma once
 
 #include <sassafrasferry/coordination/fleet_keeper.h>
@@ -8,14 +8,14 @@
 
 namespace sassafrasferry::coordination {
 
-/// Clients of the platform's parts, and decoders of what its rows hold.
+/// Client types of the platform's services, and decoders for the contents of its rows.
 template<typename T>
 concept JobPlatform = requires(std::string text)
 {
     requires store::PartStore<typename T::Store>;
     requires WorkerCalls<typename T::Worker>;
     requires CloudCalls<typename T::Cloud>;
-    // The table in which workers list themselves.
+    // Name of the table in which workers register themselves.
     {
         T::workerTable()
         } -> std::convertible_to<std::string>;
--- a/packages/coordination/include/sassafrasferry/coordination/job_recorder.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_recorder.h
@@ -1,4 +1,5 @@
-// Writes what became of jobs to the store, a part at a time, under the leader's fence.
+// Writes the progress of jobs to the store under the leader's fencing token, with one writer per
+// part.
 #pragma once
 
 #include <sassafrasferry/coordination/fenced_part.h>
@@ -17,9 +18,9 @@
 public:
     struct Events
     {
-        std::function<void()> onRecorded; ///< rows are in the store, and the scheduler knows
+        std::function<void()> onRecorded; ///< rows were stored and reported to the scheduler
         std::function<void(const std::string &why)> onDeposed;
-        OnFailure onFailed; ///< nothing is recorded any more, for a fault of this process
+        OnFailure onFailed; ///< a writer ended with an error; its part is not written any more
     };
 
     JobRecorder(http::asio::any_io_executor executor, Store &store,
@@ -29,14 +30,15 @@
         , events(std::move(events))
     {
         for (const auto &part : allJobParts())
-            this->lanes.push_back(std::make_unique<Lane>(store, part, fence, executor));
+            this->writers.push_back(std::make_unique<PartWriter>(store, part, fence, executor));
     }
 
-    /// Takes all parts, so that no earlier leader writes any more; false if a newer one has them.
+    /// Fences all parts, so that no earlier leader can write. False if a newer leader holds them or
+    /// this recorder was stopped.
     Awaitable<bool> open()
     {
-        for (auto &lane : this->lanes) {
-            if (!co_await this->until([&] { return lane->part.open(); }))
+        for (auto &writer : this->writers) {
+            if (!co_await this->retryUntilWritten([&] { return writer->part.open(); }))
                 co_return false;
         }
         co_return true;
@@ -44,30 +46,30 @@
 
     void begin()
     {
-        for (auto &lane : this->lanes) {
+        for (auto &writer : this->writers) {
             spawn(
-                this->executor, "record " + lane->part.name(),
-                [self = this->shared_from_this(), raw = lane.get()] { return self->run(*raw); },
+                this->executor, "record " + writer->part.name(),
+                [self = this->shared_from_this(), raw = writer.get()] { return self->run(*raw); },
                 [self = this->shared_from_this()](const std::string &error) {
                     self->events.onFailed(error);
                 });
         }
     }
 
-    /// The scheduler has something to record.
+    /// Makes the writers check the scheduler for changes now.
     void wake()
     {
-        for (auto &lane : this->lanes)
-            lane->wake.notify();
+        for (auto &writer : this->writers)
+            writer->wake.notify();
     }
 
-    /// A cancellation has a row, to be deleted with its job's.
+    /// Notes that the job has a cancellation row, which is deleted together with its intake row.
     void cancelled(const std::string &job)
     {
         this->cancellations.insert(job);
     }
 
-    /// Nothing is written any more, and the scheduler is not touched.
+    /// Stops all writers. The scheduler is not accessed after this call.
     void stop()
     {
         this->stopped = true;
@@ -75,16 +77,17 @@
     }
 
 private:
-    static constexpr auto gather = std::chrono::milliseconds(15);
-    static constexpr auto tick = std::chrono::milliseconds(200);
+    static constexpr auto batchDelay = std::chrono::milliseconds(15);
+    static constexpr auto maxWakeWait = std::chrono::milliseconds(200);
     static constexpr auto retryPause = std::chrono::milliseconds(50);
-    static constexpr std::size_t mostRows = 30; // of a write: each takes up to three entries
+    // Rows per transaction; each takes up to three entries of the transaction.
+    static constexpr std::size_t maxRows = 30;
 
-    /// The writes to one part.
-    struct Lane
+    /// Writes the rows of one part.
+    struct PartWriter
     {
-        Lane(Store &store, const std::string &part, std::int64_t fence,
-             const http::asio::any_io_executor &executor)
+        PartWriter(Store &store, const std::string &part, std::int64_t fence,
+                   const http::asio::any_io_executor &executor)
             : part(store, part, fence)
             , wake(executor)
         {}
@@ -93,9 +96,9 @@
         Wake wake;
     };
 
-    /// Repeats a write until it is done; false if this leader is deposed or stopped.
+    /// Repeats a write until it succeeds; false if this leader is deposed or stopped first.
     template<typename Write>
-    Awaitable<bool> until(Write write)
+    Awaitable<bool> retryUntilWritten(Write write)
     {
         while (!this->stopped) {
             const auto result = co_await write();
@@ -104,7 +107,7 @@
             if (result == WriteResult::Written)
                 co_return true;
             if (result == WriteResult::Deposed) {
-                this->events.onDeposed("a newer leader holds the jobs");
+                this->events.onDeposed("a newer leader holds the job tables");
                 break;
             }
             co_await pause(retryPause);
@@ -112,15 +115,15 @@
         co_return false;
     }
 
-    Awaitable<void> run(Lane &lane)
+    Awaitable<void> run(PartWriter &writer)
     {
         while (!this->stopped) {
-            co_await lane.wake.wait(tick);
-            co_await pause(gather);
+            co_await writer.wake.wait(maxWakeWait);
+            co_await pause(batchDelay);
             if (this->stopped)
                 co_return;
             const auto rows = this->scheduler.takeDirty(
-                mostRows, [&](const std::string &job) { return partOf(job) == lane.part.name(); });
+                maxRows, [&](const std::string &job) { return partOf(job) == writer.part.name(); });
             if (rows.empty())
                 continue;
             std::vector<store::PartPut> puts;
@@ -133,7 +136,7 @@
                 if (this->cancellations.count(row.id) != 0)
                     deletes.push_back({table::intake, cancellationKey(row.id)});
             }
-            if (!co_await this->until([&] { return lane.part.write(puts, deletes); }))
+            if (!co_await this->retryUntilWritten([&] { return writer.part.write(puts, deletes); }))
                 co_return;
             for (const auto &row : rows) {
                 this->scheduler.recorded(row);
@@ -142,15 +145,15 @@
             }
             this->events.onRecorded();
             if (this->scheduler.hasDirty())
-                lane.wake.notify();
+                writer.wake.notify();
         }
     }
 
     http::asio::any_io_executor executor;
-    scheduling::Scheduler &scheduler; // not touched once stopped
+    scheduling::Scheduler &scheduler; // not accessed after `stop`
     Events events;
-    std::vector<std::unique_ptr<Lane>> lanes; // one for each part
-    std::set<std::string> cancellations; // those that still have a row
+    std::vector<std::unique_ptr<PartWriter>> writers; // one per part
+    std::set<std::string> cancellations; // jobs whose cancellation row still exists
     bool stopped = false;
 };
 
--- a/packages/coordination/include/sassafrasferry/coordination/job_rows.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_rows.h
@@ -1,4 +1,4 @@
-// The rows of jobs: where they stand in the store, and what they hold.
+// Keys, parts and contents of the rows of jobs in the store.
 #pragma once
 
 #include <sassafrasferry/jobs/job.h>
@@ -10,33 +10,34 @@
 
 namespace sassafrasferry::coordination {
 
-/// Tables of the scheduler of jobs.
+/// Tables of the job scheduler in the store.
 namespace table {
-constexpr const char *intake = "intake"; ///< accepted jobs and cancellations, by the entry VMs
-constexpr const char *progress = "progress"; ///< what became of jobs, by the leader
-constexpr const char *chain = "chain"; ///< one row a part: the leader's fence
-constexpr const char *waves = "waves"; ///< VMs that waves have maintained, by the leader
-constexpr const char *lease = "lease"; ///< one row: who leads
+constexpr const char *intake = "intake"; ///< accepted jobs, cancellations; written by entry VMs
+constexpr const char *progress = "progress"; ///< state of jobs; written by the leader
+constexpr const char *chain = "chain"; ///< one row per part with the leader's fencing token
+constexpr const char *waves = "waves"; ///< VMs maintained in each wave; written by the leader
+constexpr const char *lease = "lease"; ///< a single row with the leader's lease
 } // namespace table
 
-/// Parts of the tables of jobs. A part takes a bounded number of transactions a second.
-constexpr std::size_t jobParts = 2;
+/// Number of parts of each table of jobs. The store limits the transactions per second of a part.
+constexpr std::size_t jobPartCount = 2;
 
-/// All rows of a job share a part, so that they change together.
+/// Part that holds all rows of the job, so that one transaction can change them together.
 std::string partOf(const std::string &job);
 std::vector<std::string> allJobParts();
 
-/// The row of a cancellation stands beside the row of its job.
+/// Key of the job's cancellation row in the intake table; it sorts right after the job's own key.
 std::string cancellationKey(const std::string &job);
-/// The job that a key of the intake names, and whether the row cancels it.
+
+/// A parsed key of the intake table: the job, and whether the row is its cancellation.
 struct IntakeKey
 {
     std::string job;
-    bool cancels = false;
+    bool isCancellation = false;
 };
 IntakeKey parseIntakeKey(const std::string &key);
 
-/// The row of a job, without when and under which configuration it was accepted.
+/// Intake row of a job. The caller adds the time of acceptance and the configuration version.
 messages::JobRecord recordOf(const jobs::JobSpec &spec, const jobs::QueueTerms &terms);
 jobs::QueueTerms termsFrom(const messages::JobRecord &record);
 
--- a/packages/coordination/include/sassafrasferry/coordination/operator_rows.h
+++ b/packages/coordination/include/sassafrasferry/coordination/operator_rows.h
@@ -1,4 +1,4 @@
-// What operators have written: the configuration in force, and their waves.
+// Rows of the operators' table: the current configuration and the maintenance waves.
 #pragma once
 
 #include <sassafrasferry/scheduling/fleet_planner.h>
@@ -11,14 +11,14 @@
 
 namespace sassafrasferry::coordination {
 
-/// Keeps the newest of it. `Platform` decodes the rows.
+/// Keeps the newest configuration and all waves. `Platform` decodes the rows.
 template<typename Platform>
 class OperatorRows
 {
 public:
     struct Events
     {
-        std::function<void()> onConfiguration; ///< a newer one is in force
+        std::function<void()> onConfiguration; ///< a newer configuration took effect
         std::function<void(const scheduling::Wave &)> onWave;
     };
 
@@ -26,30 +26,30 @@
         : events(std::move(events))
     {}
 
-    void take(const std::vector<store::PartRow> &rows)
+    void apply(const std::vector<store::PartRow> &rows)
     {
         for (const auto &row : rows) {
             if (!row.deleted && row.key == Platform::configurationKey())
-                this->takeConfiguration(row);
+                this->applyConfiguration(row);
             else if (!row.deleted && Platform::isWaveKey(row.key))
-                this->takeWave(row);
+                this->applyWave(row);
         }
     }
 
-    /// Version 0 before the first.
+    /// The newest configuration; its version is 0 until one was read.
     const scheduling::Configuration &configuration() const
     {
         return this->inForce;
     }
 
-    /// By number, all that were ordered.
+    /// All waves that operators have ordered, by wave number.
     const std::map<std::int64_t, scheduling::Wave> &waves() const
     {
         return this->waveTable;
     }
 
 private:
-    void takeWave(const store::PartRow &row)
+    void applyWave(const store::PartRow &row)
     {
         const auto wave = Platform::decodeWave(row.value);
         if (!wave.ok()) {
@@ -61,7 +61,7 @@
             this->events.onWave(*wave);
     }
 
-    void takeConfiguration(const store::PartRow &row)
+    void applyConfiguration(const store::PartRow &row)
     {
         auto configuration = Platform::decodeConfiguration(row.value);
         if (!configuration.ok()) {
@@ -78,7 +78,7 @@
     }
 
     Events events;
-    scheduling::Configuration inForce; // never goes back
+    scheduling::Configuration inForce; // its version only increases
     std::map<std::int64_t, scheduling::Wave> waveTable;
 };
 
--- a/packages/coordination/include/sassafrasferry/coordination/stored_jobs.h
+++ b/packages/coordination/include/sassafrasferry/coordination/stored_jobs.h
@@ -1,4 +1,4 @@
-// What the store itself knows of a job, and its cancellation.
+// Reads the state of a job from the store and stores its cancellation.
 #pragma once
 
 #include <sassafrasferry/coordination/job_rows.h>
@@ -10,7 +10,7 @@
 
 namespace sassafrasferry::coordination {
 
-/// Any entry VM may ask it, with or without a leader.
+/// Works on any entry VM, also while there is no leader.
 template<store::PartStore Store>
 class StoredJobs
 {
@@ -19,25 +19,26 @@
         : store(store)
     {}
 
-    /// Nothing if it can't be read.
+    /// State of the job as stored; `nullopt` if the store can't be read.
     Awaitable<std::optional<scheduling::JobState>> stateOf(std::string job)
     {
         const auto part = partOf(job);
-        const auto beyond = cancellationKey(job) + "~";
-        // The intake first: a job leaves it for the progress table, never the other way.
-        const store::PartRange intakeRange{table::intake, part, job, beyond};
-        const auto taken = co_await this->store.scan(intakeRange);
-        if (!taken.ok())
+        const auto end = cancellationKey(job) + "~";
+        // The intake table is read first: rows move from it to the progress table, never back, so a
+        // job that moves between the two reads is still found.
+        const store::PartRange intakeRange{table::intake, part, job, end};
+        const auto intakePage = co_await this->store.scan(intakeRange);
+        if (!intakePage.ok())
             co_return std::nullopt;
-        const store::PartRange progressRange{table::progress, part, job, beyond};
-        const auto page = co_await this->store.scan(progressRange);
-        if (!page.ok())
+        const store::PartRange progressRange{table::progress, part, job, end};
+        const auto progressPage = co_await this->store.scan(progressRange);
+        if (!progressPage.ok())
             co_return std::nullopt;
-        co_return stateIn(job, taken->rows, page->rows);
+        co_return stateIn(job, intakePage->rows, progressPage->rows);
     }
 
-    /// Repeats the write until it is confirmed: the same row again does no harm. False at the
-    /// deadline.
+    /// Writes the cancellation row and repeats the write, which is idempotent, until the store
+    /// confirms it. False if that doesn't happen before the deadline.
     Awaitable<bool> cancel(std::string job, Instant deadline)
     {
         while (bootNow() < deadline) {
@@ -63,8 +64,8 @@
         for (const auto &row : intake) {
             const auto key = parseIntakeKey(row.key);
             if (key.job == job && state != scheduling::JobState::Cancelled)
-                state =
-                    key.cancels ? scheduling::JobState::Cancelled : scheduling::JobState::Queued;
+                state = key.isCancellation ? scheduling::JobState::Cancelled
+                                           : scheduling::JobState::Queued;
         }
         for (const auto &row : progress) {
             messages::JobProgress record;
--- a/packages/coordination/include/sassafrasferry/coordination/table_follower.h
+++ b/packages/coordination/include/sassafrasferry/coordination/table_follower.h
@@ -1,4 +1,4 @@
-// Follows a table of the store: all rows first, then each change as it comes.
+// Follows a table of the store: reads all rows, then receives each change from the table's feed.
 #pragma once
 
 #include <sassafrasferry/coordination/spawn.h>
@@ -11,21 +11,21 @@
 
 namespace sassafrasferry::coordination {
 
-/// Which table, and how eagerly.
+/// The table to follow and the timing of its feed.
 struct FollowOptions
 {
     std::string table;
-    std::vector<std::string> parts; ///< scanned at the start and after a loss of history
-    std::chrono::milliseconds wait{2500}; ///< a feed's answer comes this late if nothing changes
-    std::chrono::milliseconds pause{0}; ///< between two reads of the feed
+    std::vector<std::string> parts; ///< parts to scan at the start and after the feed lost history
+    std::chrono::milliseconds wait{2500}; ///< a feed without changes answers after this time
+    std::chrono::milliseconds pause{0}; ///< delay between two reads of the feed
 };
 
-/// Follows until `stop` is called or the object is gone.
+/// Follows the table until `stop` is called.
 template<store::PartStore Store>
 class TableFollower : public std::enable_shared_from_this<TableFollower<Store>>
 {
 public:
-    /// `isWhole`: the rows are all that the table holds.
+    /// `isWhole`: the rows are the whole table, not changes from the feed.
     using OnRows = std::function<void(const std::vector<store::PartRow> &rows, bool isWhole)>;
 
     TableFollower(Store &store, FollowOptions options, OnRows onRows)
@@ -46,13 +46,13 @@
         this->stopped = true;
     }
 
-    /// When the store last answered; the epoch if it never did.
+    /// Time of the store's last answer; the epoch if it never answered.
     Instant lastAnswer() const
     {
         return this->answeredAt;
     }
 
-    /// Reads the whole table now.
+    /// Reads the whole table now; false if the store doesn't answer.
     Awaitable<bool> refresh()
     {
         std::vector<store::PartRow> all;
@@ -67,7 +67,7 @@
             std::move(page->rows.begin(), page->rows.end(), std::back_inserter(all));
         }
         this->answeredAt = bootNow();
-        // A feed that is ahead of this read must not be set back.
+        // A feed that is already past this snapshot must not go back to the snapshot's version.
         if (this->version == store::absent)
             this->version = version;
         if (!this->stopped)
@@ -75,7 +75,7 @@
         co_return true;
     }
 
-    /// Reads the whole table as soon as the store answers; false if it was stopped before.
+    /// Retries `refresh` until the store answers; false if `stop` was called first.
     Awaitable<bool> refreshUntilRead()
     {
         while (!this->stopped) {
@@ -95,7 +95,7 @@
         while (!this->stopped) {
             if (this->version == store::absent) {
                 if (!co_await this->refresh()) {
-                    this->noteReach(false);
+                    this->logReachability(false);
                     co_await pause(retryPause);
                 }
                 continue;
@@ -104,7 +104,7 @@
                 co_await this->store.feed(this->options.table, this->version, this->options.wait);
             if (this->stopped)
                 co_return;
-            this->noteReach(page.ok());
+            this->logReachability(page.ok());
             if (!page.ok()) {
                 co_await pause(retryPause);
                 continue;
@@ -124,11 +124,11 @@
         }
     }
 
-    void noteReach(bool reached)
+    void logReachability(bool reached)
     {
-        if (reached == this->reachable)
+        if (reached == this->isStoreReachable)
             return;
-        this->reachable = reached;
+        this->isStoreReachable = reached;
         LOG(WARNING) << "event=store-" << (reached ? "regained" : "lost")
                      << " table=" << this->options.table << " version=" << this->version;
     }
@@ -136,9 +136,9 @@
     Store &store;
     FollowOptions options;
     OnRows onRows;
-    std::int64_t version = store::absent; // up to which all changes were handed on
+    std::int64_t version = store::absent; // all changes up to this version were passed to `onRows`
     Instant answeredAt{};
-    bool reachable = true;
+    bool isStoreReachable = true;
     bool stopped = false;
 };
 
--- a/packages/coordination/src/caller_request.cpp
+++ b/packages/coordination/src/caller_request.cpp
@@ -1,4 +1,4 @@
-// What callers' requests about jobs say besides their body, and the answers that many share.
+// Parses the headers and job ids of callers' job requests, and builds their common responses.
 #include <sassafrasferry/coordination/caller_request.h>
 
 #include <sassafrasferry/http/json.h>
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds defaultPatience(3000); // of callers that name none
-constexpr std::chrono::milliseconds answerMargin(400); // for the way back
-constexpr std::size_t longestId = 100;
+constexpr std::chrono::milliseconds defaultPatience(3000); // if the header is absent or invalid
+constexpr std::chrono::milliseconds answerMargin(400); // for the response to reach the caller
+constexpr std::size_t maxIdLength = 100;
 
 } // namespace
 
@@ -38,7 +38,7 @@
 
 bool isJobId(const std::string &text)
 {
-    return !text.empty() && text.size() <= longestId
+    return !text.empty() && text.size() <= maxIdLength
            && std::all_of(text.begin(), text.end(), [](unsigned char character) {
                   return std::isalnum(character) != 0 || character == '-' || character == '_';
               });
--- a/packages/coordination/src/caller_request_test.cpp
+++ b/packages/coordination/src/caller_request_test.cpp
@@ -36,7 +36,7 @@
     {"pule25.example:8080", "pule25.example"},
 };
 
-/// What the caller's field says, and how long the caller is taken to wait.
+/// Value of the patience header, and the milliseconds that the caller is assumed to wait.
 struct PatienceCase
 {
     std::string field;
@@ -52,14 +52,14 @@
 
 } // namespace
 
-TEST_CASE("What may name a job")
+TEST_CASE("Job ids hold 1 to 100 letters, digits, hyphens or underscores")
 {
     const auto row = GENERATE(from_range(ids));
     CAPTURE(row.text);
     CHECK(isJobId(row.text) == row.isId);
 }
 
-TEST_CASE("The host that a caller asks")
+TEST_CASE("The host of a request is its Host header without the port")
 {
     const auto row = GENERATE(from_range(hosts));
     http::Request request;
@@ -68,7 +68,7 @@
     CHECK(hostOf(request) == row.host);
 }
 
-TEST_CASE("A caller is answered before it stops waiting")
+TEST_CASE("The deadline of a request lies before the time when its caller stops waiting")
 {
     const auto row = GENERATE(from_range(patiences));
     CAPTURE(row.field);
@@ -82,7 +82,7 @@
     CHECK(deadline >= before + std::chrono::milliseconds(row.milliseconds - 400));
 }
 
-TEST_CASE("A refusal says when to come back")
+TEST_CASE("A 503 response has a Retry-After header")
 {
     const auto response = retryLater("no configuration yet");
     CHECK(response.result() == http::Status::service_unavailable);
--- a/packages/coordination/src/decision_log.cpp
+++ b/packages/coordination/src/decision_log.cpp
@@ -1,4 +1,4 @@
-// The leader's log lines about its decisions.
+// Log lines about the leader's scheduling decisions and the load of services.
 #include <sassafrasferry/coordination/decision_log.h>
 
 #include <absl/strings/str_cat.h>
--- a/packages/coordination/src/job_book.cpp
+++ b/packages/coordination/src/job_book.cpp
@@ -1,4 +1,4 @@
-// What a new leader learns of jobs from the store's rows.
+// Loads jobs and cancellations from the store's rows into a new leader's scheduler.
 #include <sassafrasferry/coordination/job_book.h>
 
 #include <sassafrasferry/coordination/job_rows.h>
@@ -15,9 +15,10 @@
 
 using std::chrono::milliseconds;
 
-// A wall clock that was set back or ahead must not put a job far from its turn.
-constexpr std::int64_t oldestNew = 5000; // ms, of a job that has just come
-constexpr std::int64_t oldestInherited = 60000; // ms
+// Upper bounds in milliseconds of a job's age, which is computed from wall clocks. They keep a
+// clock that was set back or ahead from moving a job far from its place in the order.
+constexpr std::int64_t maxNewAge = 5000; // a job that was stored after the takeover
+constexpr std::int64_t maxInheritedAge = 60000; // a job that was in the store at the takeover
 
 } // namespace
 
@@ -30,7 +31,7 @@
     for (const auto &row : rows) {
         messages::JobProgress progress;
         if (progress.ParseFromString(row.value))
-            this->inherited[row.key] = std::move(progress);
+            this->storedProgress[row.key] = std::move(progress);
         else
             LOG(ERROR) << "event=progress-unreadable job=" << row.key;
     }
@@ -38,26 +39,26 @@
 
 std::vector<std::string> JobBook::takeIntake(const std::vector<store::PartRow> &rows)
 {
-    std::vector<std::string> asked;
+    std::vector<std::string> requested;
     for (const auto &row : rows) {
         if (row.deleted)
             continue;
         const auto key = parseIntakeKey(row.key);
-        if (key.cancels)
-            asked.push_back(key.job);
+        if (key.isCancellation)
+            requested.push_back(key.job);
         else
-            this->takeJob(key.job, row.value);
+            this->addStored(key.job, row.value);
     }
-    // What is over has left the intake; its progress row tells how.
-    for (const auto &entry : this->inherited) {
+    // Jobs that have ended have no intake row any more; their progress row holds the final state.
+    for (const auto &entry : this->storedProgress) {
         const auto state = static_cast<scheduling::JobState>(entry.second.state());
         if (jobs::isFinal(state))
-            this->addOver(entry.first, state);
+            this->addFinished(entry.first, state);
     }
-    this->inherited.clear();
+    this->storedProgress.clear();
     this->complete = true;
     std::vector<std::string> cancelled;
-    for (const auto &job : asked) {
+    for (const auto &job : requested) {
         if (this->scheduler.cancelJob(job))
             cancelled.push_back(job);
     }
@@ -69,27 +70,27 @@
     return this->complete;
 }
 
-void JobBook::takeJob(const std::string &id, const std::string &bytes)
+void JobBook::addStored(const std::string &id, const std::string &bytes)
 {
     messages::JobRecord record;
     if (!record.ParseFromString(bytes)) {
         LOG(ERROR) << "event=job-unreadable job=" << id;
         return;
     }
-    const auto oldest = this->complete ? oldestNew : oldestInherited;
+    const auto maxAge = this->complete ? maxNewAge : maxInheritedAge;
     const auto age = milliseconds(
-        std::clamp<std::int64_t>(http::unixNow() - record.accepted_milliseconds(), 0, oldest));
+        std::clamp<std::int64_t>(http::unixNow() - record.accepted_milliseconds(), 0, maxAge));
     auto job =
         std::make_unique<jobs::Job>(id, jobs::specFrom(record), termsFrom(record), bootNow() - age);
     job->inherited = !this->complete;
-    if (const auto at = this->inherited.find(id); at != this->inherited.end()) {
+    if (const auto at = this->storedProgress.find(id); at != this->storedProgress.end()) {
         job->restore(at->second);
         job->recordedChanges = job->changes;
     }
     this->scheduler.addJob(std::move(job));
 }
 
-void JobBook::addOver(const std::string &id, scheduling::JobState state)
+void JobBook::addFinished(const std::string &id, scheduling::JobState state)
 {
     auto job = std::make_unique<jobs::Job>(id, jobs::JobSpec{}, jobs::QueueTerms{}, bootNow());
     job->state = state;
--- a/packages/coordination/src/job_book_test.cpp
+++ b/packages/coordination/src/job_book_test.cpp
@@ -54,7 +54,7 @@
 const std::vector<Case> cases{
     {"no rows", {}, {}, JobState::Unknown, {}},
     {"accepted", {}, {intakeRow("j")}, JobState::Queued, {}},
-    {"over, and gone from the intake",
+    {"ended, without an intake row",
      {progressRow("j", JobState::Completed)},
      {},
      JobState::Completed,
@@ -64,14 +64,14 @@
      {intakeRow("j"), cancellationRow("j")},
      JobState::Cancelled,
      {"j"}},
-    {"the cancellation comes first",
+    {"the cancellation row comes before the job's row",
      {},
      {cancellationRow("j"), intakeRow("j")},
      JobState::Cancelled,
      {"j"}},
-    {"a cancellation of nothing", {}, {cancellationRow("j")}, JobState::Unknown, {}},
-    {"a row that can't be read", {}, {unreadable(intakeRow("j"))}, JobState::Unknown, {}},
-    {"progress that can't be read",
+    {"a cancellation without a job", {}, {cancellationRow("j")}, JobState::Unknown, {}},
+    {"an intake row that can't be parsed", {}, {unreadable(intakeRow("j"))}, JobState::Unknown, {}},
+    {"a progress row that can't be parsed",
      {unreadable(progressRow("j", JobState::Running))},
      {intakeRow("j")},
      JobState::Queued,
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("A new leader knows jobs by their rows")
+TEST_CASE("A new leader loads the state of a job from its rows")
 {
     const auto row = GENERATE(from_range(cases));
     CAPTURE(row.name);
@@ -93,7 +93,7 @@
     CHECK(scheduler.stateOf("j") == row.state);
 }
 
-TEST_CASE("Terms of a queue come back from the row of a job")
+TEST_CASE("Queue terms survive a round trip through the row of a job")
 {
     jobs::QueueTerms terms;
     terms.queue = "q";
--- a/packages/coordination/src/job_desk.cpp
+++ b/packages/coordination/src/job_messenger.cpp
@@ -1,5 +1,5 @@
-// Questions and answers, matched by their numbers.
-#include <sassafrasferry/coordination/job_desk.h>
+// Sends questions and matches answers to them by question number.
+#include <sassafrasferry/coordination/job_messenger.h>
 
 #include <sassafrasferry/coordination/spawn.h>
 
@@ -7,8 +7,8 @@
 
 namespace sassafrasferry::coordination {
 
-JobDesk::JobDesk(http::asio::io_context &context, model::Endpoint self, OnQuestion onQuestion,
-                 OnHandIn onHandIn, OnEnvelope onOther)
+JobMessenger::JobMessenger(http::asio::io_context &context, model::Endpoint self,
+                           OnQuestion onQuestion, OnHandIn onHandIn, OnEnvelope onOther)
     : context(context)
     , self(std::move(self))
     , onQuestion(std::move(onQuestion))
@@ -18,13 +18,13 @@
            [this](std::string_view bytes) { this->receive(bytes); })
 {}
 
-absl::Status JobDesk::open()
+absl::Status JobMessenger::open()
 {
     return this->port.open(this->self);
 }
 
-Awaitable<JobDesk::Answer> JobDesk::ask(const model::Endpoint &peer, messages::JobQuestion question,
-                                        Duration timeout)
+Awaitable<JobMessenger::Answer> JobMessenger::ask(const model::Endpoint &peer,
+                                                  messages::JobQuestion question, Duration timeout)
 {
     co_return co_await http::awaitCallback<Answer>([&](auto done) {
         const auto number = this->numbers.next();
@@ -43,12 +43,12 @@
     });
 }
 
-bool JobDesk::send(const model::Endpoint &peer, const messages::JobEnvelope &envelope)
+bool JobMessenger::send(const model::Endpoint &peer, const messages::JobEnvelope &envelope)
 {
     return this->port.send(peer, envelope.SerializeAsString());
 }
 
-void JobDesk::finish(std::uint64_t number, Answer answer)
+void JobMessenger::finish(std::uint64_t number, Answer answer)
 {
     const auto at = this->pending.find(number);
     if (at == this->pending.end())
@@ -59,7 +59,7 @@
     done(std::move(answer));
 }
 
-void JobDesk::receive(std::string_view bytes)
+void JobMessenger::receive(std::string_view bytes)
 {
     messages::JobEnvelope envelope;
     if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
@@ -86,13 +86,14 @@
     this->reply(*address, question.number(), this->onQuestion(question));
 }
 
-Awaitable<void> JobDesk::answerHandIn(model::Endpoint peer, messages::JobQuestion question)
+Awaitable<void> JobMessenger::answerHandIn(model::Endpoint peer, messages::JobQuestion question)
 {
     auto answer = co_await this->onHandIn(question.hand_in());
     this->reply(peer, question.number(), std::move(answer));
 }
 
-void JobDesk::reply(const model::Endpoint &peer, std::uint64_t number, messages::JobAnswer answer)
+void JobMessenger::reply(const model::Endpoint &peer, std::uint64_t number,
+                         messages::JobAnswer answer)
 {
     messages::JobEnvelope envelope;
     *envelope.mutable_answer() = std::move(answer);
--- a/packages/coordination/src/job_rows.cpp
+++ b/packages/coordination/src/job_rows.cpp
@@ -1,4 +1,4 @@
-// The rows of jobs: where they stand in the store, and what they hold.
+// Keys, parts and contents of the rows of jobs in the store.
 #include <sassafrasferry/coordination/job_rows.h>
 
 #include <absl/strings/str_cat.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr char cancellationMark = '!';
+constexpr char cancellationSuffix = '!';
 
 std::string partName(std::size_t index)
 {
@@ -20,25 +20,25 @@
 
 std::string partOf(const std::string &job)
 {
-    return partName(XXH3_64bits(job.data(), job.size()) % jobParts);
+    return partName(XXH3_64bits(job.data(), job.size()) % jobPartCount);
 }
 
 std::vector<std::string> allJobParts()
 {
     std::vector<std::string> parts;
-    for (std::size_t i = 0; i < jobParts; ++i)
+    for (std::size_t i = 0; i < jobPartCount; ++i)
         parts.push_back(partName(i));
     return parts;
 }
 
 std::string cancellationKey(const std::string &job)
 {
-    return job + cancellationMark;
+    return job + cancellationSuffix;
 }
 
 IntakeKey parseIntakeKey(const std::string &key)
 {
-    if (!key.empty() && key.back() == cancellationMark)
+    if (!key.empty() && key.back() == cancellationSuffix)
         return {key.substr(0, key.size() - 1), true};
     return {key, false};
 }
