--- a/packages/standins/src/load.cpp
+++ b/packages/standins/src/load_generator.cpp
@@ -1,5 +1,5 @@
-// The load of callers.
-#include <sassafrasferry/standins/load.h>
+// Generates the requests and tallies the answers.
+#include <sassafrasferry/standins/load_generator.h>
 
 #include <sassafrasferry/http/json.h>
 
@@ -18,9 +18,10 @@
 using http::Awaitable;
 using http::ExchangeState;
 
-constexpr int mostResends = 20;
-constexpr std::chrono::milliseconds resendPause{500};
-constexpr std::chrono::milliseconds answerSlack{5000}; // beyond the deadline, then it is lost
+constexpr int maxResends = 20;
+constexpr std::chrono::milliseconds resendDelay{500};
+// Time past the deadline after which a request counts as unanswered.
+constexpr std::chrono::milliseconds answerTimeoutMargin{5000};
 
 double millisecondsBetween(std::chrono::steady_clock::time_point a,
                            std::chrono::steady_clock::time_point b)
@@ -39,7 +40,7 @@
     return values[static_cast<std::size_t>(rank)];
 }
 
-Load::Load(asio::any_io_executor executor, LoadPlan plan)
+LoadGenerator::LoadGenerator(asio::any_io_executor executor, LoadPlan plan)
     : executor(executor)
     , plan(std::move(plan))
     , random(this->plan.seed)
@@ -51,30 +52,30 @@
     }
 }
 
-// The platform's balancer: it sends to entry VMs whose health check passes, and to all of them if
-// none does.
-Awaitable<void> Load::watchHealth(std::size_t entry)
+// Probes one entry VM as the platform's load balancer does. Requests go to entry VMs whose health
+// check passes, or to all of them if none passes.
+Awaitable<void> LoadGenerator::probeHealth(std::size_t entry)
 {
     constexpr std::chrono::milliseconds period{100};
     http::Client::Options options;
-    http::Client prober(this->executor, this->plan.health[entry], options);
+    http::Client prober(this->executor, this->plan.healthEndpoints[entry], options);
     asio::steady_timer timer(this->executor);
-    while (!this->isOver) {
+    while (!this->isFinished) {
         http::Request question{http::Verb::get, "/healthz", 11};
         const auto exchange = co_await prober.exchange(std::move(question), 5 * period);
-        this->healthy[entry] = exchange.state == ExchangeState::Answered
-                               && exchange.response.result() == http::Status::ok;
+        this->isHealthy[entry] = exchange.state == ExchangeState::Answered
+                                 && exchange.response.result() == http::Status::ok;
         timer.expires_after(period);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    --this->open;
+    --this->openTasks;
 }
 
-http::Client &Load::pickClient()
+http::Client &LoadGenerator::pickClient()
 {
     std::vector<std::size_t> choices;
     for (std::size_t i = 0; i < this->clients.size(); ++i) {
-        if (this->healthy[i])
+        if (this->isHealthy[i])
             choices.push_back(i);
     }
     if (choices.empty())
@@ -82,52 +83,53 @@
     return *this->clients[choices[this->random() % choices.size()]];
 }
 
-bool Load::surges(std::size_t service, Clock::time_point at) const
+bool LoadGenerator::isInSurge(std::size_t service, Clock::time_point at) const
 {
-    const auto phase = static_cast<std::size_t>((at - this->begin) / this->plan.phase);
+    const auto phase = static_cast<std::size_t>((at - this->begin) / this->plan.phaseLength);
     return phase == service;
 }
 
-double Load::rateOf(std::size_t service, Clock::time_point at) const
+double LoadGenerator::rateOf(std::size_t service, Clock::time_point at) const
 {
-    const auto phase = static_cast<std::size_t>((at - this->begin) / this->plan.phase);
+    const auto phase = static_cast<std::size_t>((at - this->begin) / this->plan.phaseLength);
     if (phase == service)
-        return this->plan.meanRate * this->plan.surge;
+        return this->plan.meanRate * this->plan.surgeFactor;
     if (phase == service + 1)
-        return this->plan.meanRate * this->plan.lull;
+        return this->plan.meanRate * this->plan.lullFactor;
     return this->plan.meanRate;
 }
 
-Awaitable<LoadTally> Load::run()
+Awaitable<LoadTally> LoadGenerator::run()
 {
     this->begin = Clock::now();
     this->end =
-        this->begin + this->plan.phase * static_cast<std::int64_t>(this->plan.services.size() + 1);
+        this->begin
+        + this->plan.phaseLength * static_cast<std::int64_t>(this->plan.services.size() + 1);
     for (std::size_t i = 0; i < this->plan.services.size(); ++i) {
-        ++this->open;
+        ++this->openTasks;
         asio::co_spawn(
-            this->executor, [this, i] { return this->offer(i); }, asio::detached);
+            this->executor, [this, i] { return this->generateRequests(i); }, asio::detached);
     }
-    this->healthy.assign(this->clients.size(), true);
-    for (std::size_t i = 0; i < this->plan.health.size(); ++i)
+    this->isHealthy.assign(this->clients.size(), true);
+    for (std::size_t i = 0; i < this->plan.healthEndpoints.size(); ++i)
         asio::co_spawn(
-            this->executor, [this, i] { return this->watchHealth(i); }, asio::detached);
+            this->executor, [this, i] { return this->probeHealth(i); }, asio::detached);
     asio::steady_timer timer(this->executor);
-    while (this->open > 0) {
+    while (this->openTasks > 0) {
         timer.expires_after(std::chrono::milliseconds(20));
         co_await timer.async_wait(asio::use_awaitable);
     }
-    // The health checks end by themselves, and only then may this object go.
-    this->isOver = true;
-    this->open = this->plan.health.size();
-    while (this->open > 0) {
+    // The health probes refer to this object, so wait until they have ended.
+    this->isFinished = true;
+    this->openTasks = this->plan.healthEndpoints.size();
+    while (this->openTasks > 0) {
         timer.expires_after(std::chrono::milliseconds(20));
         co_await timer.async_wait(asio::use_awaitable);
     }
     co_return std::move(this->tally);
 }
 
-Awaitable<void> Load::offer(std::size_t service)
+Awaitable<void> LoadGenerator::generateRequests(std::size_t service)
 {
     asio::steady_timer timer(this->executor);
     auto next = Clock::now();
@@ -138,18 +140,18 @@
         timer.expires_at(next);
         co_await timer.async_wait(asio::use_awaitable);
         if (step >= 0.1)
-            continue; // a long gap: the rate may have changed meanwhile
-        ++this->open;
-        const auto number = ++this->numbers;
+            continue; // the gap was cut short because the rate may change during it
+        ++this->openTasks;
+        const auto number = ++this->requestCount;
         asio::co_spawn(
-            this->executor, [this, service, number] { return this->one(service, number); },
+            this->executor, [this, service, number] { return this->sendRequest(service, number); },
             asio::detached);
     }
-    --this->open;
+    --this->openTasks;
 }
 
-http::Request Load::requestOf(const LoadService &service, const std::string &body,
-                              const std::string &key)
+http::Request LoadGenerator::makeRequest(const LoadService &service, const std::string &body,
+                                         const std::string &key)
 {
     std::uniform_real_distribution<double> spread(0.5, 1.5);
     const auto runTime = static_cast<double>(this->plan.runTime.count()) * spread(this->random);
@@ -158,72 +160,72 @@
     http::Request request{http::Verb::post, target, 11};
     request.set(http::header::callerId, "load");
     request.set(http::header::requestTimeout, std::to_string(this->plan.deadline.count()));
-    if (service.keyed)
+    if (service.usesIdempotencyKey)
         request.set(http::header::idempotencyKey, key);
     request.body() = body;
     request.prepare_payload();
     return request;
 }
 
-Awaitable<void> Load::one(std::size_t serviceIndex, std::uint64_t number)
+Awaitable<void> LoadGenerator::sendRequest(std::size_t serviceIndex, std::uint64_t number)
 {
     const auto &service = this->plan.services[serviceIndex];
-    auto &seen = this->tally.classes[static_cast<std::size_t>(service.requestClass)];
+    auto &classTally = this->tally.classes[static_cast<std::size_t>(service.requestClass)];
     const auto body = std::to_string(this->plan.seed) + "-" + std::to_string(number);
-    const auto request = this->requestOf(service, body, body);
+    const auto request = this->makeRequest(service, body, body);
     const bool isCancelled =
-        std::uniform_real_distribution<double>(0, 1)(this->random) < this->plan.cancelled;
-    ++seen.offered;
+        std::uniform_real_distribution<double>(0, 1)(this->random) < this->plan.cancelledShare;
+    ++classTally.offered;
     const auto start = Clock::now();
-    const bool inSurge = this->surges(serviceIndex, start);
-    this->tally.bystandersOffered += inSurge ? 0 : 1;
-    std::chrono::milliseconds patience = this->plan.deadline + answerSlack;
+    const bool inSurge = this->isInSurge(serviceIndex, start);
+    this->tally.offeredOutsideSurge += inSurge ? 0 : 1;
+    std::chrono::milliseconds timeout = this->plan.deadline + answerTimeoutMargin;
     if (isCancelled)
-        patience = this->plan.runTime / 4;
+        timeout = this->plan.runTime / 4;
     asio::steady_timer timer(this->executor);
-    for (int attempt = 0; attempt <= mostResends; ++attempt) {
+    for (int attempt = 0; attempt <= maxResends; ++attempt) {
         auto &target = this->pickClient();
-        const auto exchange = co_await target.exchange(request, patience);
+        const auto exchange = co_await target.exchange(request, timeout);
         const bool isAnswered = exchange.state == ExchangeState::Answered;
         const auto outcome =
             isAnswered ? http::fieldOf(exchange.response, http::header::outcome) : "";
         if (outcome == "completed") {
             const auto answer = http::parseJson(exchange.response.body());
             const bool isOwn = answer.is_object() && answer.value("echo", "") == body;
-            seen.strangers += isOwn || exchange.response.result_int() >= 500 ? 0 : 1;
+            classTally.foreignAnswers += isOwn || exchange.response.result_int() >= 500 ? 0 : 1;
             const auto took = millisecondsBetween(start, Clock::now());
             const bool isLate =
                 took > static_cast<double>(this->plan.deadline.count()) || attempt > 0;
-            (isLate ? seen.late : seen.completed) += 1;
-            seen.milliseconds.push_back(took);
+            (isLate ? classTally.late : classTally.completed) += 1;
+            classTally.milliseconds.push_back(took);
             ++this->tally.completedByService[service.name];
-            this->tally.surgeCompleted += inSurge && !isLate ? 1 : 0;
-            this->tally.bystandersCompleted += !inSurge && !isLate ? 1 : 0;
-            if (service.keyed)
+            this->tally.completedInSurge += inSurge && !isLate ? 1 : 0;
+            this->tally.completedOutsideSurge += !inSurge && !isLate ? 1 : 0;
+            if (service.usesIdempotencyKey)
                 this->tally.completedKeys.push_back(body);
             break;
         }
         if (outcome == "not-run") {
-            ++seen.refused;
-            if (service.keyed)
+            ++classTally.refused;
+            if (service.usesIdempotencyKey)
                 this->tally.notRunKeys.push_back(body);
             break;
         }
-        if (!service.keyed) {
-            (isAnswered ? seen.unknown : seen.broken) += isCancelled ? 0 : 1;
+        if (!service.usesIdempotencyKey) {
+            (isAnswered ? classTally.unknown : classTally.unanswered) += isCancelled ? 0 : 1;
             break;
         }
-        if (attempt == mostResends) {
-            ++seen.unknown;
-            ++this->tally.unsettled;
+        if (attempt == maxResends) {
+            ++classTally.unknown;
+            ++this->tally.unresolved;
             break;
         }
         ++this->tally.resent;
-        patience = this->plan.deadline + answerSlack;
-        timer.expires_after(resendPause);
+        timeout = this->plan.deadline + answerTimeoutMargin;
+        timer.expires_after(resendDelay);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    --this->open;
+    --this->openTasks;
 }
 
 } // namespace sassafrasferry::standins
--- a/packages/standins/src/load_main.cpp
+++ b/packages/standins/src/load_main.cpp
@@ -1,6 +1,7 @@
-// standin-load: offers a load through entry VMs, then asks the workers what ran, and prints the
-// figures as JSON. Exits with 1 if anything was doubled, lost or a stranger's.
-#include <sassafrasferry/standins/load.h>
+// standin-load: offers a load through entry VMs, reads from the workers which requests ran, and
+// prints the results as JSON. Exits with 1 if a keyed request ran twice, was lost or ran although
+// its caller was told that it had not, or if a caller got the answer to another request.
+#include <sassafrasferry/standins/load_generator.h>
 
 #include <sassafrasferry/http/json.h>
 
@@ -17,45 +18,46 @@
 
 namespace {
 
-constexpr const char *usage = R"(standin-load: a load of callers.
+constexpr const char *usage = R"(standin-load: generates a load of requests.
 
 Usage:
   standin-load --entries LIST --workers ENDPOINT --worker-count N --services LIST [options]
 
 Options:
-  --entries LIST      Callers' addresses of the entry VMs, with commas between.
+  --entries LIST      Addresses of the entry VMs for callers, comma-separated.
   --workers ENDPOINT  IP number and first port of the workers.
-  --worker-count N    Workers, on consecutive ports.
-  --services LIST     NAME:CLASS or NAME:CLASS:keyed, with commas between.
-  --health LIST       Administration addresses, in the order of the entries: send only to those
-                      whose health check passes, as a balancer does.
-  --rate N            Mean requests a second of a service [default: 100].
-  --surge N           Times the mean, each service in turn [default: 5].
-  --lull N            Times the mean, in the phase after its surge [default: 0.05].
-  --phase-ms N        How long a surge lasts [default: 5000].
-  --run-ms N          Mean run time [default: 100].
-  --deadline-ms N     Deadline of each request [default: 2000].
-  --cancelled N       Share of requests whose caller goes away [default: 0].
-  --pool-slots N      Slots of one service's own pool, for the goodput [default: 80].
-  --seed N            Seed [default: 1].
+  --worker-count N    Number of workers, on consecutive ports.
+  --services LIST     NAME:CLASS or NAME:CLASS:keyed, comma-separated; keyed requests carry
+                      an idempotency key.
+  --health LIST       Administration addresses in the order of the entries. If given, requests go
+                      only to entry VMs whose health check passes.
+  --rate N            Mean requests per second of each service [default: 100].
+  --surge N           Factor on the mean rate in a surge, for one service at a time [default: 5].
+  --lull N            Factor on the mean rate in the phase after a surge [default: 0.05].
+  --phase-ms N        Length of a surge, in ms [default: 5000].
+  --run-ms N          Mean run time, in ms [default: 100].
+  --deadline-ms N     Deadline of each request, in ms [default: 2000].
+  --cancelled N       Share of requests whose caller disconnects [default: 0].
+  --pool-slots N      Slots of the pool of one service, to compute the goodput [default: 80].
+  --seed N            Seed of the random numbers [default: 1].
 )";
 
 using namespace sassafrasferry;
 using http::Json;
 
-// What the workers say that ran.
-struct WorkersWord
+// The runs and refusals of all workers.
+struct WorkerReport
 {
     std::map<std::string, int> startsByKey;
     std::uint64_t refused = 0;
-    std::uint64_t mostBusy = 0;
-    bool isWhole = true; // every worker answered
+    std::uint64_t maxBusySlots = 0;
+    bool isComplete = true; // all workers have reported
 };
 
-http::Awaitable<WorkersWord> askWorkers(http::asio::any_io_executor executor, model::Endpoint first,
-                                        long count)
+http::Awaitable<WorkerReport> collectWorkerReport(http::asio::any_io_executor executor,
+                                                  model::Endpoint first, long count)
 {
-    WorkersWord word;
+    WorkerReport workerReport;
     for (long i = 0; i < count; ++i) {
         http::Client client(executor, first, {});
         ++first.port;
@@ -64,18 +66,19 @@
             co_await client.exchange(std::move(question), std::chrono::seconds(10));
         const auto body = http::parseJson(exchange.response.body());
         if (!body.is_object()) {
-            word.isWhole = false;
+            workerReport.isComplete = false;
             continue;
         }
-        word.refused += body["refused"].get<std::uint64_t>();
-        word.mostBusy = std::max(word.mostBusy, body["mostBusy"].get<std::uint64_t>());
+        workerReport.refused += body["refused"].get<std::uint64_t>();
+        workerReport.maxBusySlots =
+            std::max(workerReport.maxBusySlots, body["mostBusy"].get<std::uint64_t>());
         for (const auto &run : body["runs"]) {
             const auto key = run["key"].get<std::string>();
             if (!key.empty())
-                ++word.startsByKey[key];
+                ++workerReport.startsByKey[key];
         }
     }
-    co_return word;
+    co_return workerReport;
 }
 
 Json toJson(const standins::ClassTally &tally)
@@ -85,8 +88,8 @@
             {"late", tally.late},
             {"refused", tally.refused},
             {"unknown", tally.unknown},
-            {"broken", tally.broken},
-            {"strangers", tally.strangers},
+            {"broken", tally.unanswered},
+            {"strangers", tally.foreignAnswers},
             {"p50", standins::quantileOf(tally.milliseconds, 0.5)},
             {"p99", standins::quantileOf(tally.milliseconds, 0.99)}};
 }
@@ -95,7 +98,7 @@
 {
     const auto endpoint = model::parseEndpoint(text);
     if (!endpoint) {
-        std::cerr << text << " is not an IP number and a port\n";
+        std::cerr << text << ": expected IP_ADDRESS:PORT\n";
         std::exit(2);
     }
     return *endpoint;
@@ -127,68 +130,69 @@
     }
     if (arguments["--health"]) {
         for (const auto item : absl::StrSplit(arguments["--health"].asString(), ','))
-            plan.health.push_back(endpointOf(std::string(item)));
+            plan.healthEndpoints.push_back(endpointOf(std::string(item)));
     }
     plan.meanRate = number("--rate");
-    plan.surge = number("--surge");
-    plan.lull = number("--lull");
-    plan.phase = time("--phase-ms");
+    plan.surgeFactor = number("--surge");
+    plan.lullFactor = number("--lull");
+    plan.phaseLength = time("--phase-ms");
     plan.runTime = time("--run-ms");
     plan.deadline = time("--deadline-ms");
-    plan.cancelled = number("--cancelled");
+    plan.cancelledShare = number("--cancelled");
     plan.seed = static_cast<std::uint64_t>(number("--seed"));
     const auto workers = endpointOf(arguments["--workers"].asString());
     const auto workerCount = arguments["--worker-count"].asLong();
 
     http::asio::io_context context(1);
-    standins::Load load(context.get_executor(), plan);
+    standins::LoadGenerator load(context.get_executor(), plan);
     standins::LoadTally tally;
-    WorkersWord word;
+    WorkerReport workerReport;
     http::asio::co_spawn(
         context,
         [&]() -> http::Awaitable<void> {
             tally = co_await load.run();
-            word = co_await askWorkers(context.get_executor(), workers, workerCount);
+            workerReport =
+                co_await collectWorkerReport(context.get_executor(), workers, workerCount);
             context.stop();
         },
         http::asio::detached);
     context.run();
 
-    std::uint64_t doubled = 0;
-    std::uint64_t ranThoughNotRun = 0;
-    std::uint64_t lost = tally.unsettled;
-    std::uint64_t strangers = 0;
-    for (const auto &[key, starts] : word.startsByKey)
-        doubled += starts > 1 ? 1 : 0;
+    std::uint64_t duplicated = 0;
+    std::uint64_t ranDespiteNotRun = 0;
+    std::uint64_t lost = tally.unresolved;
+    std::uint64_t foreignAnswers = 0;
+    for (const auto &[key, starts] : workerReport.startsByKey)
+        duplicated += starts > 1 ? 1 : 0;
     for (const auto &key : tally.notRunKeys)
-        ranThoughNotRun += word.startsByKey.contains(key) ? 1 : 0;
+        ranDespiteNotRun += workerReport.startsByKey.contains(key) ? 1 : 0;
     for (const auto &key : tally.completedKeys)
-        lost += word.startsByKey.contains(key) ? 0 : 1;
+        lost += workerReport.startsByKey.contains(key) ? 0 : 1;
     Json classes;
     for (const auto &row : enumNames(model::RequestClass{})) {
-        const auto &seen = tally.classes[static_cast<std::size_t>(row.value)];
-        strangers += seen.strangers;
-        if (seen.offered > 0)
-            classes[std::string(row.name)] = toJson(seen);
+        const auto &classTally = tally.classes[static_cast<std::size_t>(row.value)];
+        foreignAnswers += classTally.foreignAnswers;
+        if (classTally.offered > 0)
+            classes[std::string(row.name)] = toJson(classTally);
     }
-    const double phaseSeconds = std::chrono::duration<double>(plan.phase).count();
+    const double phaseSeconds = std::chrono::duration<double>(plan.phaseLength).count();
     const double runSeconds = std::chrono::duration<double>(plan.runTime).count();
     const double capacity = number("--pool-slots") / runSeconds * phaseSeconds
                             * static_cast<double>(plan.services.size());
-    const double bystanders =
-        static_cast<double>(tally.bystandersCompleted)
-        / static_cast<double>(std::max<std::uint64_t>(1, tally.bystandersOffered));
+    const double completedShareOutsideSurge =
+        static_cast<double>(tally.completedOutsideSurge)
+        / static_cast<double>(std::max<std::uint64_t>(1, tally.offeredOutsideSurge));
     const Json report{{"classes", classes},
-                      {"bystanders", bystanders},
-                      {"surgeGoodput", static_cast<double>(tally.surgeCompleted) / capacity},
+                      {"bystanders", completedShareOutsideSurge},
+                      {"surgeGoodput", static_cast<double>(tally.completedInSurge) / capacity},
                       {"resent", tally.resent},
-                      {"workerRefusals", word.refused},
-                      {"mostBusy", word.mostBusy},
-                      {"doubled", doubled},
+                      {"workerRefusals", workerReport.refused},
+                      {"mostBusy", workerReport.maxBusySlots},
+                      {"doubled", duplicated},
                       {"lost", lost},
-                      {"ranThoughNotRun", ranThoughNotRun},
-                      {"strangers", strangers},
-                      {"workersWhole", word.isWhole}};
+                      {"ranThoughNotRun", ranDespiteNotRun},
+                      {"strangers", foreignAnswers},
+                      {"workersWhole", workerReport.isComplete}};
     std::cout << report.dump() << std::endl;
-    return doubled + lost + strangers + ranThoughNotRun == 0 ? 0 : 1;
+    return duplicated + lost + foreignAnswers + ranDespiteNotRun == 0 ? 0 : 1;
 }
