--- a/packages/standins/include/sassafrasferry/standins/platform_standin.h
+++ b/packages/standins/include/sassafrasferry/standins/platform_standin.h
@@ -1,4 +1,5 @@
-// A stand-in for the platform: table service, object store, lagging VM list, fault switches.
+// A stand-in for the platform: table service, object store, delayed list of leaving VMs, VM
+// maintenance and injected faults.
 #pragma once
 
 #include <sassafrasferry/fakes/memory_tables.h>
@@ -13,30 +14,31 @@
 
 using http::Awaitable;
 
-/// Limits and lags of the stand-in.
+/// Rate limits and delays of the stand-in.
 struct PlatformOptions
 {
-    double writesPerSecond = 400; ///< transactions; more wait their turn
+    double writesPerSecond = 400; ///< transactions; calls above the rate are delayed
     double readsPerSecond = 2000;
-    std::chrono::milliseconds listLag{2000}; ///< how late the VM list is
-    std::chrono::milliseconds drain{500}; ///< until a drained VM is empty
-    std::chrono::milliseconds maintenance{1000};
+    std::chrono::milliseconds listLag{2000}; ///< delay until a change shows in the VM list
+    std::chrono::milliseconds drainTime{500}; ///< from the drain order until the VM is empty
+    std::chrono::milliseconds maintenanceTime{1000};
 };
 
-/// Serves the platform's protocols on one executor.
+/// Serves the platform's protocols; runs on one executor.
 class PlatformStandin
 {
 public:
     PlatformStandin(http::asio::any_io_executor executor, PlatformOptions options);
 
-    /// Handles one request of the platform's protocols, or of `/standin/`.
+    /// Handles one request of the platform's protocols, or one under `/standin/` that injects
+    /// faults.
     Awaitable<http::Response> handle(http::Request request);
 
 private:
     using Clock = std::chrono::steady_clock;
 
-    // A rate limit: calls beyond it wait.
-    struct Pace
+    // Delays calls above a rate.
+    struct RateLimit
     {
         Clock::time_point next{};
     };
@@ -47,39 +49,39 @@
         bool isLeaving = false;
     };
 
-    // A VM under the platform's care.
+    // A VM whose maintenance the platform carries out.
     struct ManagedVm
     {
         fleet::VmReport report;
-        std::int64_t underWay = 0; // the maintain order being carried out
-        Clock::time_point until{}; // of the present phase
-        bool comesBackFailing = false;
-        int maintained = 0;
+        std::int64_t maintenanceOrder = 0; // number of the last accepted maintain order
+        Clock::time_point phaseEnd{}; // end of the current phase, if it is a timed one
+        bool failsAfterMaintenance = false;
+        int maintenanceCount = 0;
     };
 
     Awaitable<void> waitUntil(Clock::time_point at);
-    Awaitable<void> pace(Pace &pace, double perSecond);
+    Awaitable<void> throttle(RateLimit &limit, double perSecond);
     Awaitable<http::Response> transact(http::Request request);
     http::Response read(const http::Request &request);
     http::Response scan(const http::Request &request);
-    http::Response objects(const std::string &name, const http::Request &request);
-    http::Response list();
+    http::Response handleObject(const std::string &name, const http::Request &request);
+    http::Response listLeavingVms();
     http::Response setFaults(const http::Request &request);
-    http::Response setVm(const http::Request &request);
-    http::Response vm(const std::string &path, const http::Request &request);
-    void passTime(ManagedVm &vm) const;
-    void order(ManagedVm &vm, const std::string &what, std::int64_t number);
+    http::Response setVmState(const http::Request &request);
+    http::Response handleVm(const std::string &path, const http::Request &request);
+    void advancePhase(ManagedVm &vm) const;
+    void applyOrder(ManagedVm &vm, const std::string &what, std::int64_t number);
 
     http::asio::any_io_executor executor;
     PlatformOptions options;
     fakes::MemoryTables tables;
-    std::map<std::string, std::string> stored; // objects by name
-    std::deque<ListChange> listChanges; // not visible yet, in order
-    std::set<std::string> leaving; // VMs that the list names now
-    std::map<std::string, ManagedVm> managed;
-    std::chrono::milliseconds delay{0}; // fault: every call takes this much longer
-    Pace writes;
-    Pace reads;
+    std::map<std::string, std::string> storedObjects; // contents by name
+    std::deque<ListChange> listChanges; // changes that the list does not show yet, oldest first
+    std::set<std::string> leavingVms; // VMs that the list shows
+    std::map<std::string, ManagedVm> vms;
+    std::chrono::milliseconds faultDelay{0}; // injected into every call
+    RateLimit writes;
+    RateLimit reads;
 };
 
 } // namespace sassafrasferry::standins
--- a/packages/standins/src/platform_contract_test.cpp
+++ b/packages/standins/src/platform_contract_test.cpp
@@ -1,4 +1,5 @@
-// The table service's contract, kept by the stand-in over HTTP and by the client that speaks to it.
+// Tests the contracts of table service, object store and VM list between the stand-in and the HTTP
+// clients.
 #include <sassafrasferry/standins/platform_standin.h>
 
 #include <sassafrasferry/fakes/run.h>
@@ -67,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("a transaction happens as a whole, on its conditions")
+TEST_CASE("a transaction commits only if the versions in its conditions match")
 {
     Fixture fixture;
     const auto first = fixture.commit(put(store::absent));
@@ -84,7 +85,7 @@
     CHECK(fakes::run(fixture.context, fixture.tables->scan({"t", "a"}))->empty());
 }
 
-TEST_CASE("each fault of the table service has its own word")
+TEST_CASE("each fault of the table service gives its own commit state")
 {
     const auto row = GENERATE(values<FaultCase>({
         {"down", {{"down", true}}, CommitState::NotApplied, 0},
@@ -100,7 +101,7 @@
     CHECK(fakes::run(fixture.context, fixture.tables->scan({"t", ""}))->size() == row.rows);
 }
 
-TEST_CASE("a scan gives rows in the order of their keys, no more than asked for")
+TEST_CASE("a scan returns rows in key order, up to its limit")
 {
     Fixture fixture;
     for (const auto *key : {"c", "a", "b"})
@@ -114,7 +115,7 @@
     CHECK((*rest)[0].key.key == "c");
 }
 
-TEST_CASE("objects are kept whole, and the list names the VMs that leave")
+TEST_CASE("the object store returns whole objects, and the VM list names leaving VMs")
 {
     Fixture fixture;
     store::ObjectClient objects(fixture.context.get_executor(), fixture.endpoint, 10s);
@@ -122,7 +123,7 @@
     CHECK(fakes::run(fixture.context, objects.put("o", body)).ok());
     CHECK(*fakes::run(fixture.context, objects.get("o")) == body);
     CHECK_FALSE(fakes::run(fixture.context, objects.get("none")).ok());
-    // Removed twice, as after a lost answer: an object that is gone is no fault.
+    // Removal is idempotent, because a client repeats it after a lost answer.
     CHECK(fakes::run(fixture.context, objects.remove("o")).ok());
     CHECK(fakes::run(fixture.context, objects.remove("o")).ok());
     CHECK_FALSE(fakes::run(fixture.context, objects.get("o")).ok());
--- a/packages/standins/src/platform_main.cpp
+++ b/packages/standins/src/platform_main.cpp
@@ -1,4 +1,4 @@
-// standin-platform: the platform stand-in as a process.
+// standin-platform: runs the platform stand-in as a process.
 #include <sassafrasferry/standins/platform_standin.h>
 
 #include <docopt/docopt.h>
@@ -18,12 +18,12 @@
                    [--list-lag-ms N] [--drain-ms N] [--maintenance-ms N]
 
 Options:
-  --listen ENDPOINT        IP number and port.
-  --writes-per-second N    Transactions it takes [default: 400].
-  --reads-per-second N     Reads it takes [default: 2000].
-  --drain-ms N             Until a drained VM is empty [default: 500].
-  --maintenance-ms N       How long maintenance takes [default: 1000].
-  --list-lag-ms N          How late its list of VMs is [default: 2000].
+  --listen ENDPOINT        IP address and port.
+  --writes-per-second N    Limit of transactions per second [default: 400].
+  --reads-per-second N     Limit of reads per second [default: 2000].
+  --drain-ms N             Time from a drain order until the VM is empty [default: 500].
+  --maintenance-ms N       Duration of maintenance [default: 1000].
+  --list-lag-ms N          Delay until a change shows in the list of leaving VMs [default: 2000].
 )";
 
 } // namespace
@@ -41,8 +41,8 @@
     options.writesPerSecond = std::stod(arguments["--writes-per-second"].asString());
     options.readsPerSecond = std::stod(arguments["--reads-per-second"].asString());
     options.listLag = std::chrono::milliseconds(arguments["--list-lag-ms"].asLong());
-    options.drain = std::chrono::milliseconds(arguments["--drain-ms"].asLong());
-    options.maintenance = std::chrono::milliseconds(arguments["--maintenance-ms"].asLong());
+    options.drainTime = std::chrono::milliseconds(arguments["--drain-ms"].asLong());
+    options.maintenanceTime = std::chrono::milliseconds(arguments["--maintenance-ms"].asLong());
     http::asio::io_context context(1);
     standins::PlatformStandin standin(context.get_executor(), options);
     model::CallerLimits limits;
--- a/packages/standins/src/platform_standin.cpp
+++ b/packages/standins/src/platform_standin.cpp
@@ -1,4 +1,4 @@
-// The platform stand-in.
+// Handlers of the platform stand-in.
 #include <sassafrasferry/standins/platform_standin.h>
 
 #include <boost/asio/steady_timer.hpp>
@@ -38,16 +38,16 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-Awaitable<void> PlatformStandin::pace(Pace &pace, double perSecond)
+Awaitable<void> PlatformStandin::throttle(RateLimit &limit, double perSecond)
 {
     const auto step =
         std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(1.0 / perSecond));
-    const auto at = std::max(Clock::now(), pace.next);
-    pace.next = at + step;
+    const auto at = std::max(Clock::now(), limit.next);
+    limit.next = at + step;
     if (at > Clock::now())
         co_await this->waitUntil(at);
-    if (this->delay.count() > 0)
-        co_await this->waitUntil(Clock::now() + this->delay);
+    if (this->faultDelay.count() > 0)
+        co_await this->waitUntil(Clock::now() + this->faultDelay);
 }
 
 Awaitable<http::Response> PlatformStandin::handle(http::Request request)
@@ -56,26 +56,26 @@
     if (target == "/standin/faults")
         co_return this->setFaults(request);
     if (target == "/standin/vms")
-        co_return this->setVm(request);
+        co_return this->setVmState(request);
     if (this->tables.faults.down)
         co_return http::textResponse(Status::service_unavailable, "down\n");
     try {
         if (target == "/v1/transactions") {
-            co_await this->pace(this->writes, this->options.writesPerSecond);
+            co_await this->throttle(this->writes, this->options.writesPerSecond);
             auto response = co_await this->transact(std::move(request));
             co_return response;
         }
-        co_await this->pace(this->reads, this->options.readsPerSecond);
+        co_await this->throttle(this->reads, this->options.readsPerSecond);
         if (target == "/v1/reads")
             co_return this->read(request);
         if (target == "/v1/scans")
             co_return this->scan(request);
         if (target == "/v1/vms?state=leaving")
-            co_return this->list();
+            co_return this->listLeavingVms();
         if (target.rfind(vmsPath, 0) == 0)
-            co_return this->vm(target.substr(vmsPath.size()), request);
+            co_return this->handleVm(target.substr(vmsPath.size()), request);
         if (target.rfind(objectsPath, 0) == 0)
-            co_return this->objects(target.substr(objectsPath.size()), request);
+            co_return this->handleObject(target.substr(objectsPath.size()), request);
     } catch (const Json::exception &error) {
         co_return http::textResponse(Status::bad_request, error.what());
     }
@@ -115,104 +115,106 @@
         {body.at("table"), body.at("after"), body.value("limit", ScanRange::everything)}));
 }
 
-http::Response PlatformStandin::objects(const std::string &name, const http::Request &request)
+http::Response PlatformStandin::handleObject(const std::string &name, const http::Request &request)
 {
     if (request.method() == Verb::put) {
-        this->stored[name] = request.body();
+        this->storedObjects[name] = request.body();
         return http::textResponse(Status::ok, "");
     }
     if (request.method() == Verb::delete_) {
-        this->stored.erase(name);
+        this->storedObjects.erase(name);
         return http::textResponse(Status::ok, "");
     }
-    const auto at = this->stored.find(name);
-    if (at == this->stored.end())
+    const auto at = this->storedObjects.find(name);
+    if (at == this->storedObjects.end())
         return http::textResponse(Status::not_found, "");
     return http::textResponse(Status::ok, at->second);
 }
 
-http::Response PlatformStandin::list()
+http::Response PlatformStandin::listLeavingVms()
 {
     while (!this->listChanges.empty() && this->listChanges.front().visibleAt <= Clock::now()) {
         const auto &change = this->listChanges.front();
         if (change.isLeaving)
-            this->leaving.insert(change.vm);
+            this->leavingVms.insert(change.vm);
         else
-            this->leaving.erase(change.vm);
+            this->leavingVms.erase(change.vm);
         this->listChanges.pop_front();
     }
-    return http::jsonResponse(Status::ok, {{"leaving", this->leaving}});
+    return http::jsonResponse(Status::ok, {{"leaving", this->leavingVms}});
 }
 
-void PlatformStandin::passTime(ManagedVm &vm) const
+void PlatformStandin::advancePhase(ManagedVm &vm) const
 {
-    if (Clock::now() < vm.until)
+    if (Clock::now() < vm.phaseEnd)
         return;
     if (vm.report.phase == fleet::VmPhase::Draining)
         vm.report.phase = fleet::VmPhase::Empty;
     if (vm.report.phase == fleet::VmPhase::Maintaining) {
         vm.report.phase = fleet::VmPhase::Serving;
-        vm.report.maintainedOrder = vm.underWay;
-        vm.report.isFailing = vm.comesBackFailing;
-        ++vm.maintained;
+        vm.report.maintainedOrder = vm.maintenanceOrder;
+        vm.report.isFailing = vm.failsAfterMaintenance;
+        ++vm.maintenanceCount;
     }
 }
 
-// Orders that are not newer than the last of their kind change nothing.
-void PlatformStandin::order(ManagedVm &vm, const std::string &what, std::int64_t number)
+// A drain or maintain order must be newer than the last accepted one of its kind, and a resume
+// order must carry the number of the last drain. Maintain and resume need an empty VM. Other orders
+// are ignored.
+void PlatformStandin::applyOrder(ManagedVm &vm, const std::string &what, std::int64_t number)
 {
     if (what == "drain" && number > vm.report.drainedOrder) {
         vm.report.drainedOrder = number;
         vm.report.phase = fleet::VmPhase::Draining;
-        vm.until = Clock::now() + this->options.drain;
+        vm.phaseEnd = Clock::now() + this->options.drainTime;
     }
     const bool isEmpty = vm.report.phase == fleet::VmPhase::Empty;
-    if (what == "maintain" && number > vm.underWay && isEmpty) {
-        vm.underWay = number;
+    if (what == "maintain" && number > vm.maintenanceOrder && isEmpty) {
+        vm.maintenanceOrder = number;
         vm.report.phase = fleet::VmPhase::Maintaining;
-        vm.until = Clock::now() + this->options.maintenance;
+        vm.phaseEnd = Clock::now() + this->options.maintenanceTime;
     }
     if (what == "resume" && number == vm.report.drainedOrder && isEmpty)
         vm.report.phase = fleet::VmPhase::Serving;
 }
 
-http::Response PlatformStandin::vm(const std::string &path, const http::Request &request)
+http::Response PlatformStandin::handleVm(const std::string &path, const http::Request &request)
 {
     const auto slash = path.find('/');
-    auto &vm = this->managed[path.substr(0, slash)];
-    this->passTime(vm);
+    auto &vm = this->vms[path.substr(0, slash)];
+    this->advancePhase(vm);
     if (slash != std::string::npos)
-        this->order(vm, path.substr(slash + 1),
-                    Json::parse(request.body()).at("order").get<std::int64_t>());
+        this->applyOrder(vm, path.substr(slash + 1),
+                         Json::parse(request.body()).at("order").get<std::int64_t>());
     return http::jsonResponse(Status::ok, {{"phase", std::string(model::nameOf(vm.report.phase))},
                                            {"drainedOrder", vm.report.drainedOrder},
                                            {"maintainedOrder", vm.report.maintainedOrder},
                                            {"failing", vm.report.isFailing},
-                                           {"maintained", vm.maintained}});
+                                           {"maintained", vm.maintenanceCount}});
 }
 
 http::Response PlatformStandin::setFaults(const http::Request &request)
 {
     const auto body = http::parseJson(request.body());
     if (!body.is_object())
-        return http::textResponse(Status::bad_request, "not an object\n");
+        return http::textResponse(Status::bad_request, "the body is not a JSON object\n");
     auto &faults = this->tables.faults;
     faults.down = body.value("down", false);
     faults.lostAnswers = body.value("lostAnswers", std::size_t{0});
     faults.lostCalls = body.value("lostCalls", std::size_t{0});
-    this->delay = std::chrono::milliseconds(body.value("delayMs", 0));
+    this->faultDelay = std::chrono::milliseconds(body.value("delayMs", 0));
     return http::textResponse(Status::ok, "");
 }
 
-http::Response PlatformStandin::setVm(const http::Request &request)
+http::Response PlatformStandin::setVmState(const http::Request &request)
 {
     const auto body = http::parseJson(request.body());
     if (!body.is_object() || !body.contains("vm"))
-        return http::textResponse(Status::bad_request, "needs vm\n");
+        return http::textResponse(Status::bad_request, "the body has no field vm\n");
     if (body.contains("failing")) {
-        auto &vm = this->managed[body["vm"].get<std::string>()];
-        vm.comesBackFailing = body["failing"].get<bool>();
-        vm.report.isFailing = vm.report.isFailing && vm.comesBackFailing;
+        auto &vm = this->vms[body["vm"].get<std::string>()];
+        vm.failsAfterMaintenance = body["failing"].get<bool>();
+        vm.report.isFailing = vm.report.isFailing && vm.failsAfterMaintenance;
         return http::textResponse(Status::ok, "");
     }
     this->listChanges.push_back({Clock::now() + this->options.listLag,
