--- a/packages/standins/include/sassafrasferry/standins/worker_standin.h
+++ b/packages/standins/include/sassafrasferry/standins/worker_standin.h
@@ -1,4 +1,5 @@
-// A stand-in for a worker: slots, connections, start deadlines, kept answers, fault switches.
+// A stand-in for a worker: limits slots and connections, checks start deadlines, records the
+// results of runs and injects faults.
 #pragma once
 
 #include <sassafrasferry/http/types.h>
@@ -14,27 +15,27 @@
 
 namespace sassafrasferry::standins {
 
-/// One worker's size.
+/// Name and limits of one worker.
 struct WorkerOptions
 {
     std::string name;
     std::size_t slots = 8;
     std::size_t connections = 64;
-    std::chrono::milliseconds runTime{100}; ///< unless the target says `run-ms=N`
+    std::chrono::milliseconds runTime{100}; ///< of requests whose target has no `run-ms=N`
 };
 
-/// Fault switches.
+/// Faults to inject.
 struct WorkerFaults
 {
-    bool fail = false; ///< every run fails at once
-    bool half = false; ///< answers break off in the middle
-    bool twice = false; ///< answers are sent twice
-    bool silent = false; ///< runs, and never answers
-    bool leaving = false; ///< refuses new work and says that it is leaving
-    bool refuse = false; ///< refuses as if it were full
+    bool failRuns = false; ///< every run fails immediately with status 500
+    bool truncateAnswers = false; ///< the connection closes before the last byte of each answer
+    bool duplicateAnswers = false; ///< each answer is sent twice
+    bool dropAnswers = false; ///< requests run, but get no answer
+    bool isLeaving = false; ///< refuses requests with the header that says the worker is leaving
+    bool refuseRequests = false; ///< refuses requests as if no slot were free
 };
 
-/// What a worker knows of one operation.
+/// State and result of one operation.
 struct RunRecord
 {
     std::string idempotencyKey;
@@ -43,22 +44,23 @@
     std::string body;
 };
 
-/// A worker. Kept alive by its sessions.
+/// One worker; its sessions keep it alive.
 class WorkerStandin : public std::enable_shared_from_this<WorkerStandin>
 {
 public:
     WorkerStandin(boost::asio::io_context &context, WorkerOptions options);
 
-    /// Binds and starts serving; port 0 takes a free one. The endpoint, or port 0 on failure.
+    /// Binds and starts serving; port 0 picks a free port. Returns the bound endpoint, with port 0
+    /// on failure.
     model::Endpoint listen(const model::Endpoint &endpoint);
 
     WorkerFaults faults;
 
-    /// Runs that were started, by operation id.
+    /// Started runs by operation id.
     const std::map<std::string, RunRecord> &runs() const;
     std::size_t busy() const;
-    /// The most slots that were ever busy at once.
-    std::size_t mostBusy() const;
+    /// The highest number of slots that were busy at the same time.
+    std::size_t maxBusy() const;
     std::size_t refusals() const;
 
 private:
@@ -70,10 +72,10 @@
                                            const http::Request &request);
     http::Awaitable<http::Response> run(std::shared_ptr<Session> session,
                                         const http::Request &request);
-    http::Response tellRun(const std::string &operationId);
-    http::Response tellAll();
+    http::Response runResponse(const std::string &operationId);
+    http::Response allRunsResponse();
     http::Response setFaults(const http::Request &request);
-    http::Response refusal(const char *why, bool isLeaving);
+    http::Response refuse(const char *why, bool isLeaving);
     void addClock(http::Response &response) const;
 
     boost::asio::io_context &context;
@@ -82,9 +84,9 @@
     std::int64_t startedAt; // Unix milliseconds
     std::map<std::string, RunRecord> records;
     std::size_t busySlots = 0;
-    std::size_t busyHighest = 0;
+    std::size_t maxBusySlots = 0;
     std::size_t openSessions = 0;
-    std::size_t refused = 0;
+    std::size_t refusalCount = 0;
 };
 
 } // namespace sassafrasferry::standins
--- a/packages/standins/src/worker_contract_test.cpp
+++ b/packages/standins/src/worker_contract_test.cpp
@@ -1,4 +1,5 @@
-// The worker stand-in keeps what the entry VMs count on: slots, start deadlines, kept answers.
+// Tests the parts of the worker contract that entry VMs rely on: slots, start deadlines and
+// recorded results.
 #include <sassafrasferry/standins/worker_standin.h>
 
 #include <sassafrasferry/fakes/run.h>
@@ -50,17 +51,17 @@
     std::string leaving;
 };
 
-const std::string far = "9999999999999";
+const std::string farDeadline = "9999999999999";
 
 } // namespace
 
-TEST_CASE("a worker that refuses has not run, and says so")
+TEST_CASE("a worker that refuses a request does not run it and answers not-run")
 {
     const auto row = GENERATE(values<RefusalCase>({
-        {"no slot free", 0, far, {}, ""},
+        {"no slot free", 0, farDeadline, {}, ""},
         {"too late to start", 8, "1", {}, ""},
-        {"leaving", 8, far, {false, false, false, false, true, false}, "true"},
-        {"refuses", 8, far, {false, false, false, false, false, true}, ""},
+        {"leaving", 8, farDeadline, {false, false, false, false, true, false}, "true"},
+        {"refuses", 8, farDeadline, {false, false, false, false, false, true}, ""},
     }));
     INFO(row.title);
     Fixture fixture(row.slots);
@@ -72,24 +73,24 @@
     CHECK(fixture.worker->runs().empty());
 }
 
-TEST_CASE("a worker keeps what became of an operation")
+TEST_CASE("a worker reports the state and the result of an operation")
 {
     Fixture fixture;
     const http::Request question{http::Verb::get, "/runs/o", 11};
     auto before = fixture.ask(question);
     CHECK(http::fieldOf(before.response, "Run-State") == "never-seen");
     CHECK_FALSE(http::fieldOf(before.response, http::header::startedAt).empty());
-    const auto answer = fixture.ask(job("o", far));
+    const auto answer = fixture.ask(job("o", farDeadline));
     auto after = fixture.ask(question);
     CHECK(http::fieldOf(after.response, "Run-State") == "done");
     CHECK(after.response.body() == answer.response.body());
 }
 
-TEST_CASE("a half answer is kept whole")
+TEST_CASE("a worker records the whole answer when it sends a truncated one")
 {
     Fixture fixture;
-    fixture.worker->faults.half = true;
-    CHECK(fixture.ask(job("o", far)).state == http::ExchangeState::Broken);
+    fixture.worker->faults.truncateAnswers = true;
+    CHECK(fixture.ask(job("o", farDeadline)).state == http::ExchangeState::Broken);
     const auto kept = fixture.ask(http::Request{http::Verb::get, "/runs/o", 11});
     CHECK_THAT(kept.response.body(), Catch::Contains("\"echo\":\"b\""));
 }
--- a/packages/standins/src/worker_main.cpp
+++ b/packages/standins/src/worker_main.cpp
@@ -1,4 +1,4 @@
-// standin-worker: a row of worker stand-ins in one process, on consecutive ports.
+// standin-worker: runs several worker stand-ins in one process, on consecutive ports.
 #include <sassafrasferry/standins/worker_standin.h>
 
 #include <docopt/docopt.h>
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr const char *usage = R"(standin-worker: stand-ins for workers.
+constexpr const char *usage = R"(standin-worker: runs stand-ins for workers.
 
 Usage:
   standin-worker --listen ENDPOINT --name PREFIX [--count N] [--slots N] [--connections N]
                  [--run-ms N]
 
 Options:
-  --listen ENDPOINT   IP number and first port; each worker has the next port.
-  --name PREFIX       Names are PREFIX1, PREFIX2 and so on.
-  --count N           Workers [default: 1].
-  --slots N           Requests that one runs at once [default: 8].
-  --connections N     Connections that one accepts [default: 64].
-  --run-ms N          Run time of a request that names none [default: 100].
+  --listen ENDPOINT   IP address and first port; each further worker uses the next port.
+  --name PREFIX       The workers are named PREFIX1, PREFIX2 and so on.
+  --count N           Number of workers [default: 1].
+  --slots N           Requests that one worker runs at the same time [default: 8].
+  --connections N     Connections that one worker accepts [default: 64].
+  --run-ms N          Run time in ms of a request that does not set its own [default: 100].
 )";
 
 } // namespace
@@ -46,7 +46,7 @@
         options.runTime = std::chrono::milliseconds(arguments["--run-ms"].asLong());
         workers.push_back(std::make_shared<standins::WorkerStandin>(context, options));
         if (workers.back()->listen(*endpoint).port == 0) {
-            std::cerr << model::toString(*endpoint) << " cannot be bound\n";
+            std::cerr << model::toString(*endpoint) << ": cannot listen on this endpoint\n";
             return 4;
         }
         ++endpoint->port;
--- a/packages/standins/src/worker_standin.cpp
+++ b/packages/standins/src/worker_standin.cpp
@@ -1,4 +1,4 @@
-// The worker stand-in.
+// Serves requests of the worker stand-in.
 #include <sassafrasferry/standins/worker_standin.h>
 
 #include <sassafrasferry/http/clock.h>
@@ -25,12 +25,12 @@
 const std::string runsPath = "/runs/";
 const std::string runTimeParameter = "run-ms=";
 
-std::chrono::milliseconds runTimeOf(const Request &request, std::chrono::milliseconds usual)
+std::chrono::milliseconds runTimeOf(const Request &request, std::chrono::milliseconds defaultTime)
 {
     const std::string target(request.target());
     const auto at = target.find(runTimeParameter);
     if (at == std::string::npos)
-        return usual;
+        return defaultTime;
     return std::chrono::milliseconds(
         std::strtoll(target.c_str() + at + runTimeParameter.size(), nullptr, 10));
 }
@@ -45,11 +45,11 @@
     {}
 
     Tcp::socket socket;
-    asio::steady_timer timer; // of the run; cancelled if the caller goes
-    bool callerGone = false;
-    bool mustBreak = false; // send half of the answer and close
-    bool mustRepeat = false; // send the answer twice
-    bool mustSilence = false; // never answer
+    asio::steady_timer timer; // ends the run; cancelled if the caller disconnects
+    bool isCallerGone = false;
+    bool truncatesAnswer = false; // send all but the last byte, then close
+    bool duplicatesAnswer = false;
+    bool dropsAnswer = false; // close without an answer
 };
 
 WorkerStandin::WorkerStandin(asio::io_context &context, WorkerOptions options)
@@ -85,14 +85,14 @@
     return this->busySlots;
 }
 
-std::size_t WorkerStandin::mostBusy() const
+std::size_t WorkerStandin::maxBusy() const
 {
-    return this->busyHighest;
+    return this->maxBusySlots;
 }
 
 std::size_t WorkerStandin::refusals() const
 {
-    return this->refused;
+    return this->refusalCount;
 }
 
 Awaitable<void> WorkerStandin::acceptLoop()
@@ -104,7 +104,7 @@
         if (error)
             co_return;
         if (this->openSessions >= this->options.connections)
-            continue; // closes it
+            continue; // closes the socket
         socket.set_option(Tcp::no_delay(true), error);
         auto session = std::make_shared<Session>(std::move(socket));
         asio::co_spawn(
@@ -129,11 +129,11 @@
         if (error)
             co_return;
         auto response = co_await this->handle(session, request);
-        if (session->callerGone || session->mustSilence)
+        if (session->isCallerGone || session->dropsAnswer)
             co_return;
         response.version(11);
         response.prepare_payload();
-        if (session->mustBreak) {
+        if (session->truncatesAnswer) {
             std::ostringstream text;
             text << response;
             const auto whole = text.str();
@@ -141,7 +141,7 @@
                                        asio::buffer(whole.data(), whole.size() - 1), token);
             co_return;
         }
-        const int times = session->mustRepeat ? 2 : 1;
+        const int times = session->duplicatesAnswer ? 2 : 1;
         for (int i = 0; i < times && !error; ++i)
             co_await beast::http::async_write(session->socket, response, token);
         if (error)
@@ -155,17 +155,17 @@
     if (target == "/standin/faults")
         co_return this->setFaults(request);
     if (target == "/standin/runs")
-        co_return this->tellAll();
+        co_return this->allRunsResponse();
     if (target.rfind(runsPath, 0) == 0)
-        co_return this->tellRun(target.substr(runsPath.size()));
+        co_return this->runResponse(target.substr(runsPath.size()));
     auto response = co_await this->run(session, request);
     this->addClock(response);
     co_return response;
 }
 
-Response WorkerStandin::refusal(const char *why, bool isLeaving)
+Response WorkerStandin::refuse(const char *why, bool isLeaving)
 {
-    ++this->refused;
+    ++this->refusalCount;
     auto response = http::textResponse(Status::service_unavailable, std::string(why) + "\n");
     response.set(http::header::outcome, "not-run");
     if (isLeaving)
@@ -177,24 +177,24 @@
 {
     const auto operation = http::fieldOf(request, http::header::operationId);
     const auto deadline = http::fieldOf(request, http::header::startDeadline);
-    if (this->faults.leaving)
-        co_return this->refusal("leaving", true);
-    if (this->faults.refuse || this->busySlots >= this->options.slots)
-        co_return this->refusal("full", false);
+    if (this->faults.isLeaving)
+        co_return this->refuse("leaving", true);
+    if (this->faults.refuseRequests || this->busySlots >= this->options.slots)
+        co_return this->refuse("full", false);
     if (!deadline.empty() && unixNow() > std::strtoll(deadline.c_str(), nullptr, 10))
-        co_return this->refusal("too late to start", false);
+        co_return this->refuse("too late to start", false);
     auto &record = this->records[operation];
     record.idempotencyKey = http::fieldOf(request, http::header::idempotencyKey);
     ++this->busySlots;
-    this->busyHighest = std::max(this->busyHighest, this->busySlots);
-    if (!this->faults.fail) {
-        // A run without an idempotency key ends when its caller goes.
+    this->maxBusySlots = std::max(this->maxBusySlots, this->busySlots);
+    if (!this->faults.failRuns) {
+        // A run without an idempotency key is cancelled when its caller disconnects.
         auto isWatching = std::make_shared<bool>(record.idempotencyKey.empty());
         session->socket.async_wait(Tcp::socket::wait_read,
                                    [session, isWatching](const beast::error_code &waitError) {
                                        if (waitError || !*isWatching)
                                            return;
-                                       session->callerGone = true;
+                                       session->isCallerGone = true;
                                        session->timer.cancel();
                                    });
         beast::error_code ignored;
@@ -205,15 +205,15 @@
     }
     --this->busySlots;
     record.isDone = true;
-    record.status = this->faults.fail ? 500 : 200;
+    record.status = this->faults.failRuns ? 500 : 200;
     const Json body{
         {"worker", this->options.name}, {"operation", operation}, {"echo", request.body()}};
-    record.body = this->faults.fail ? "failed\n" : body.dump();
-    session->mustBreak = this->faults.half;
-    session->mustRepeat = this->faults.twice;
-    session->mustSilence = this->faults.silent;
+    record.body = this->faults.failRuns ? "failed\n" : body.dump();
+    session->truncatesAnswer = this->faults.truncateAnswers;
+    session->duplicatesAnswer = this->faults.duplicateAnswers;
+    session->dropsAnswer = this->faults.dropAnswers;
     auto response = http::textResponse(static_cast<Status>(record.status), record.body);
-    response.set(http::header::outcome, "completed"); // for callers who ask it directly
+    response.set(http::header::outcome, "completed"); // for callers that bypass the entry VMs
     response.set(http::Field::content_type, "application/json");
     co_return response;
 }
@@ -224,7 +224,7 @@
     response.set(http::header::clockNow, std::to_string(unixNow()));
 }
 
-Response WorkerStandin::tellRun(const std::string &operationId)
+Response WorkerStandin::runResponse(const std::string &operationId)
 {
     const auto at = this->records.find(operationId);
     Response response;
@@ -244,7 +244,7 @@
     return response;
 }
 
-Response WorkerStandin::tellAll()
+Response WorkerStandin::allRunsResponse()
 {
     auto list = Json::array();
     for (const auto &[operation, record] : this->records)
@@ -252,8 +252,8 @@
             {{"operation", operation}, {"key", record.idempotencyKey}, {"done", record.isDone}});
     return http::jsonResponse(Status::ok, {{"worker", this->options.name},
                                            {"busy", this->busySlots},
-                                           {"mostBusy", this->busyHighest},
-                                           {"refused", this->refused},
+                                           {"mostBusy", this->maxBusySlots},
+                                           {"refused", this->refusalCount},
                                            {"runs", list}});
 }
 
@@ -261,13 +261,13 @@
 {
     const auto body = http::parseJson(request.body());
     if (!body.is_object())
-        return http::textResponse(Status::bad_request, "not an object\n");
-    this->faults.fail = body.value("fail", false);
-    this->faults.half = body.value("half", false);
-    this->faults.twice = body.value("twice", false);
-    this->faults.silent = body.value("silent", false);
-    this->faults.leaving = body.value("leaving", false);
-    this->faults.refuse = body.value("refuse", false);
+        return http::textResponse(Status::bad_request, "the body is not a JSON object\n");
+    this->faults.failRuns = body.value("fail", false);
+    this->faults.truncateAnswers = body.value("half", false);
+    this->faults.duplicateAnswers = body.value("twice", false);
+    this->faults.dropAnswers = body.value("silent", false);
+    this->faults.isLeaving = body.value("leaving", false);
+    this->faults.refuseRequests = body.value("refuse", false);
     return http::textResponse(Status::ok, "");
 }
 
