--- a/packages/standins/src/relay.cpp
+++ b/packages/standins/src/relay.cpp
@@ -1,4 +1,4 @@
-// The relay's loops.
+// Accepts connections and forwards their bytes.
 #include <sassafrasferry/standins/relay.h>
 
 #include <sassafrasferry/http/json.h>
@@ -16,7 +16,8 @@
 namespace asio = boost::asio;
 using http::Tcp;
 
-constexpr auto look = std::chrono::milliseconds(10); // how often a held path is looked at
+// Time between two checks whether a path is still held.
+constexpr auto holdPollInterval = std::chrono::milliseconds(10);
 constexpr std::size_t bufferBytes = 16384;
 
 Tcp::endpoint tcpEndpoint(const model::Endpoint &endpoint)
@@ -26,10 +27,10 @@
 
 } // namespace
 
-struct Relay::Link
+struct Relay::Connection
 {
-    Tcp::socket near; // towards whoever connected
-    Tcp::socket far; // towards the target
+    Tcp::socket client; // accepted from the connecting process
+    Tcp::socket target; // opened to the target of the path
 };
 
 RelayPath parseRelayPath(const std::string &text)
@@ -74,29 +75,35 @@
             co_await acceptor.async_accept(asio::redirect_error(asio::use_awaitable, error));
         if (error)
             co_return;
-        Tcp::socket far(this->context);
-        auto link = std::make_shared<Link>(Link{std::move(socket), std::move(far)});
-        asio::co_spawn(this->context, this->connect(path, std::move(link)), asio::detached);
+        Tcp::socket target(this->context);
+        auto connection =
+            std::make_shared<Connection>(Connection{std::move(socket), std::move(target)});
+        asio::co_spawn(this->context, this->connect(path, std::move(connection)), asio::detached);
     }
 }
 
-Awaitable<void> Relay::connect(RelayPath &path, std::shared_ptr<Link> link)
+Awaitable<void> Relay::connect(RelayPath &path, std::shared_ptr<Connection> connection)
 {
     boost::system::error_code error;
-    const auto target = tcpEndpoint(path.target);
-    co_await link->far.async_connect(target, asio::redirect_error(asio::use_awaitable, error));
+    const auto endpoint = tcpEndpoint(path.target);
+    co_await connection->target.async_connect(endpoint,
+                                              asio::redirect_error(asio::use_awaitable, error));
     if (error)
-        co_return; // the near side sees its connection closed
-    link->near.set_option(Tcp::no_delay(true), error);
-    link->far.set_option(Tcp::no_delay(true), error);
-    asio::co_spawn(this->context, this->pump(path.holdsForward, link, link->near, link->far),
-                   asio::detached);
-    asio::co_spawn(this->context, this->pump(path.holdsBack, link, link->far, link->near),
+        co_return; // closes the accepted connection too
+    connection->client.set_option(Tcp::no_delay(true), error);
+    connection->target.set_option(Tcp::no_delay(true), error);
+    asio::co_spawn(
+        this->context,
+        this->pump(path.holdsForward, connection, connection->client, connection->target),
+        asio::detached);
+    asio::co_spawn(this->context,
+                   this->pump(path.holdsBack, connection, connection->target, connection->client),
                    asio::detached);
 }
 
-// `link` keeps both sockets alive while either direction is pumped.
-Awaitable<void> Relay::pump(const bool &holds, [[maybe_unused]] std::shared_ptr<Link> link,
+// `connection` keeps both sockets alive while either direction is being forwarded.
+Awaitable<void> Relay::pump(const bool &holds,
+                            [[maybe_unused]] std::shared_ptr<Connection> connection,
                             Tcp::socket &from, Tcp::socket &to)
 {
     std::array<char, bufferBytes> bytes{};
@@ -104,8 +111,8 @@
     auto token = asio::redirect_error(asio::use_awaitable, error);
     while (!error) {
         const auto count = co_await from.async_read_some(asio::buffer(bytes), token);
-        // What was read, and the end of the stream too, is held like a packet on the way.
-        co_await this->waitWhile(holds);
+        // Holds both data and the end of the stream, as a network holds packets in transit.
+        co_await this->waitUntilReleased(holds);
         if (!error)
             co_await asio::async_write(to, asio::buffer(bytes.data(), count), token);
     }
@@ -113,11 +120,11 @@
     to.shutdown(Tcp::socket::shutdown_send, ignored);
 }
 
-Awaitable<void> Relay::waitWhile(const bool &holds)
+Awaitable<void> Relay::waitUntilReleased(const bool &holds)
 {
     asio::steady_timer timer(this->context);
     while (holds) {
-        timer.expires_after(look);
+        timer.expires_after(holdPollInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
@@ -126,7 +133,7 @@
 {
     const auto body = http::parseJson(request.body());
     if (!body.is_object())
-        co_return http::textResponse(http::Status::bad_request, "not an object\n");
+        co_return http::textResponse(http::Status::bad_request, "the body is not a JSON object\n");
     for (auto &path : this->paths) {
         if (path.name != body.value("path", ""))
             continue;
@@ -134,7 +141,7 @@
         path.holdsBack = body.value("back", false);
         co_return http::textResponse(http::Status::ok, "");
     }
-    co_return http::textResponse(http::Status::not_found, "no such path\n");
+    co_return http::textResponse(http::Status::not_found, "unknown path\n");
 }
 
 } // namespace sassafrasferry::standins
--- a/packages/standins/src/relay_main.cpp
+++ b/packages/standins/src/relay_main.cpp
@@ -1,4 +1,4 @@
-// standin-relay: the network between processes, as a process.
+// standin-relay: runs the relay as a process.
 #include <sassafrasferry/standins/relay.h>
 
 #include <docopt/docopt.h>
@@ -10,16 +10,18 @@
 
 namespace {
 
-constexpr const char *usage = R"(standin-relay: paths between processes that can be cut.
+constexpr const char *usage =
+    R"(standin-relay: forwards connections between processes and can hold their bytes.
 
 Usage:
   standin-relay --control ENDPOINT PATH...
 
 Options:
-  --control ENDPOINT  IP number and port that takes the commands.
+  --control ENDPOINT  IP address and port of the control server.
 
-A PATH is NAME=LISTEN=TARGET, both an IP number and port. POST /standin/cuts to the control endpoint
-with {"path": NAME, "forward": BOOL, "back": BOOL} holds bytes towards the target, and from it.
+A PATH is NAME=LISTEN=TARGET, where LISTEN and TARGET are an IP address and port.
+POST /standin/cuts to the control endpoint with {"path": NAME, "forward": BOOL, "back": BOOL} sets
+whether the path holds bytes to the target (forward) and from it (back).
 )";
 
 } // namespace
@@ -46,7 +48,7 @@
         std::vector<http::Lane>{{context.get_executor(), handle}}, model::CallerLimits{});
     const auto status = server->listen(*control);
     if (!status.ok() || !relay.listen()) {
-        std::cerr << "a port is taken\n";
+        std::cerr << "cannot listen on the control endpoint or on one of the paths\n";
         return 4;
     }
     http::asio::signal_set signals(context, SIGTERM, SIGINT);
