--- a/packages/standins/src/fleet_measure.cpp
+++ b/packages/standins/src/fleet_measure.cpp
@@ -1,5 +1,6 @@
-// measure-fleet: waves and moves on a virtual clock, the decision code against baselines. Prints a
-// table for each of the two deployments of the users' brief. No processes, no clock, no sockets.
+// measure-fleet: simulates maintenance waves and VM moves between pools on a virtual clock and
+// compares the planners with simple baselines. Prints one table of waves, for two deployments, and
+// one of moves. Starts no processes and opens no sockets.
 #include <sassafrasferry/policy/capacity_planner.h>
 #include <sassafrasferry/policy/wave_planner.h>
 
@@ -15,14 +16,14 @@
 using namespace sassafrasferry::policy;
 using namespace std::chrono_literals;
 
-// ---- waves
+// ---- maintenance waves
 
 enum class WavePolicy { Planner, OneAtATime, FixedTenth };
 
 struct Deployment
 {
     std::string name;
-    std::vector<std::size_t> pools; // VMs of each
+    std::vector<std::size_t> pools; // number of VMs by pool
     std::size_t spare = 6;
     double availability = 0.8;
     Duration drain; // mean time until a VM is empty
@@ -35,21 +36,21 @@
     double rollOutHours = 0;
     double bufferVmHours = 0;
     double moves = 0;
-    double overBudgetSeconds = 0; // planned drains passed the budget
-    double underPromiseSeconds = 0; // fewer VMs in service than promised, for whatever reason
+    double overBudgetSeconds = 0; // time for which drains exceeded the budget
+    double belowRequiredSeconds = 0; // time with fewer VMs in service than required, for any cause
 };
 
 struct SimulatedVm
 {
     WaveVm vm;
-    Duration until{}; // of its present state
+    Duration until{}; // end of the current state
 };
 
-// One pool through a wave, with random failures and the loss of a rack in the middle.
-class PoolWave
+// Simulates one pool during a wave, with random VM failures and the loss of one rack.
+class PoolSimulation
 {
 public:
-    PoolWave(const Deployment &deployment, std::size_t size, WavePolicy policy, unsigned seed)
+    PoolSimulation(const Deployment &deployment, std::size_t size, WavePolicy policy, unsigned seed)
         : deployment(deployment)
         , policy(policy)
         , random(seed)
@@ -76,8 +77,8 @@
         while (this->now < longest && !this->isDone()) {
             this->now += step;
             this->failAndRecover(step);
-            this->drainMore();
-            this->tally(step);
+            this->startDrains();
+            this->recordStep(step);
         }
         this->figures.rollOutHours = seconds(this->now) / 3600;
         this->figures.bufferVmHours =
@@ -102,7 +103,7 @@
     {
         // A VM fails about every 70 days; a rack is lost for 20 minutes once in each wave.
         const double failure = seconds(step) / (70.0 * 86400);
-        const bool losesRack = !this->rackLost && this->now >= 25min;
+        const bool losesRack = !this->hasLostRack && this->now >= 25min;
         for (auto &vm : this->vms) {
             const bool inService =
                 vm.vm.state == WaveVmState::Pending || vm.vm.state == WaveVmState::Done;
@@ -114,7 +115,7 @@
                 this->advance(vm);
             }
         }
-        this->rackLost = this->rackLost || losesRack;
+        this->hasLostRack = this->hasLostRack || losesRack;
     }
 
     void advance(SimulatedVm &vm)
@@ -133,7 +134,7 @@
         }
     }
 
-    std::size_t out() const
+    std::size_t outOfServiceCount() const
     {
         return static_cast<std::size_t>(
             std::count_if(this->vms.begin(), this->vms.end(), [](const SimulatedVm &vm) {
@@ -147,7 +148,8 @@
             this->pool.vms.clear();
             for (const auto &vm : this->vms) {
                 this->pool.vms.push_back(vm.vm);
-                // A VM that failed after its maintenance is no sign against the wave.
+                // The simulated failures are not caused by maintenance, so they must not stop the
+                // wave.
                 if (vm.vm.state == WaveVmState::BackFailing)
                     this->pool.vms.back().state = WaveVmState::Failed;
             }
@@ -159,44 +161,44 @@
                        || vm.vm.state == WaveVmState::InMaintenance;
             }));
         const double tenth = std::ceil(static_cast<double>(this->vms.size()) / 10);
-        const auto atOnce =
+        const auto maxPlanned =
             this->policy == WavePolicy::OneAtATime ? 1 : static_cast<std::size_t>(tenth);
         std::vector<std::string> names;
         for (const auto &vm : this->vms) {
-            if (vm.vm.state == WaveVmState::Pending && planned + names.size() < atOnce)
+            if (vm.vm.state == WaveVmState::Pending && planned + names.size() < maxPlanned)
                 names.push_back(vm.vm.name);
         }
         return names;
     }
 
-    void drainMore()
+    void startDrains()
     {
         for (const auto &name : this->nextDrains()) {
             for (auto &vm : this->vms) {
                 if (vm.vm.name != name)
                     continue;
                 vm.vm.state = WaveVmState::Draining;
-                const double stretch = 0.5 + this->uniform();
-                vm.until = this->now + fromSeconds(seconds(this->deployment.drain) * stretch);
+                const double drainFactor = 0.5 + this->uniform();
+                vm.until = this->now + fromSeconds(seconds(this->deployment.drain) * drainFactor);
             }
-            if (this->out() > this->mayBeOut())
-                this->overdrawn = true;
+            if (this->outOfServiceCount() > this->outOfServiceLimit())
+                this->isOverBudget = true;
         }
     }
 
-    std::size_t mayBeOut() const
+    std::size_t outOfServiceLimit() const
     {
         return this->vms.size() + this->pool.borrowed - this->required;
     }
 
-    void tally(Duration step)
+    void recordStep(Duration step)
     {
-        const auto isOver = this->out() > this->mayBeOut();
-        if (isOver)
-            this->figures.underPromiseSeconds += seconds(step);
-        if (isOver && this->overdrawn)
+        const auto isBelowRequired = this->outOfServiceCount() > this->outOfServiceLimit();
+        if (isBelowRequired)
+            this->figures.belowRequiredSeconds += seconds(step);
+        if (isBelowRequired && this->isOverBudget)
             this->figures.overBudgetSeconds += seconds(step);
-        this->overdrawn = this->overdrawn && isOver;
+        this->isOverBudget = this->isOverBudget && isBelowRequired;
     }
 
     const Deployment &deployment;
@@ -206,8 +208,8 @@
     WavePool pool;
     std::size_t required = 0;
     Duration now{};
-    bool rackLost = false;
-    bool overdrawn = false; // the last drain passed the budget, and it has not recovered
+    bool hasLostRack = false;
+    bool isOverBudget = false; // since a drain exceeded the budget, until the pool has recovered
     WaveFigures figures;
 };
 
@@ -227,14 +229,14 @@
         for (unsigned seed = 1; seed <= seeds; ++seed) {
             double slowest = 0;
             for (std::size_t i = 0; i < deployment.pools.size(); ++i) {
-                PoolWave wave(deployment, deployment.pools[i], row.policy,
-                              seed * 100 + static_cast<unsigned>(i));
+                PoolSimulation wave(deployment, deployment.pools[i], row.policy,
+                                    seed * 100 + static_cast<unsigned>(i));
                 const auto figures = wave.run();
                 slowest = std::max(slowest, figures.rollOutHours);
                 sum.bufferVmHours += figures.bufferVmHours;
                 sum.moves += figures.moves;
                 sum.overBudgetSeconds += figures.overBudgetSeconds;
-                sum.underPromiseSeconds += figures.underPromiseSeconds;
+                sum.belowRequiredSeconds += figures.belowRequiredSeconds;
             }
             sum.rollOutHours += slowest;
             longest = std::max(longest, slowest);
@@ -242,7 +244,7 @@
         std::printf("| %s | %s | %.2f | %.2f | %.1f | %.1f | %.0f | %.0f |\n",
                     deployment.name.c_str(), row.name, sum.rollOutHours / seeds, longest,
                     sum.bufferVmHours / seeds, sum.moves / seeds, sum.overBudgetSeconds / seeds,
-                    sum.underPromiseSeconds / seeds);
+                    sum.belowRequiredSeconds / seeds);
     }
 }
 
@@ -251,18 +253,19 @@
 struct MoveFigures
 {
     double moves = 0;
-    double served = 0; // work served over work offered
-    double bufferVmHours = 0; // borrowed VMs held
+    double served = 0; // share of the offered work that was served
+    double bufferVmHours = 0; // VM hours borrowed from the spare pool
 };
 
-// Five pools whose demand takes turns, one spare pool of six VMs, over a day.
-MoveFigures simulateMoves(MovePolicy policy, Duration turn, unsigned seed)
+// Simulates a day of five pools that have their peak demand in turn, and a spare pool of six VMs.
+MoveFigures simulateMoves(MovePolicy policy, Duration phaseLength, unsigned seed)
 {
     constexpr std::size_t pools = 5;
     constexpr double poolVms = 10;
     constexpr double spareVms = 6;
     constexpr auto step = 1s;
-    constexpr double mean = 0.3; // of the pool's capacity; its turn asks five times that
+    // Mean demand as a share of the pool's capacity; the demand is five times as high at its peak.
+    constexpr double mean = 0.3;
     CapacityTimes times;
     std::minstd_rand random(seed);
     std::vector<CapacityPlanner> planners(pools, CapacityPlanner(policy, times));
@@ -274,18 +277,18 @@
         double vms;
     };
     std::vector<Arrival> arrivals;
-    std::vector<double> held(pools, 0); // borrowed VMs that serve
+    std::vector<double> servingBorrowed(pools, 0); // borrowed VMs that have arrived
     double free = spareVms;
     MoveFigures figures;
     double offered = 0;
     double served = 0;
     for (Duration now{}; now < 24h; now += step) {
-        const auto current = static_cast<std::size_t>(now / turn) % (pools + 1);
+        const auto current = static_cast<std::size_t>(now / phaseLength) % (pools + 1);
         std::erase_if(arrivals, [&](const Arrival &arrival) {
             if (arrival.at > now)
                 return false;
             if (arrival.vms > 0)
-                held[arrival.pool] += arrival.vms;
+                servingBorrowed[arrival.pool] += arrival.vms;
             else
                 free -= arrival.vms;
             return true;
@@ -295,7 +298,7 @@
             const double factor = i == current ? 5 : i + 1 == current ? 0.05 : 1;
             const double demand = mean * factor * noise * poolVms;
             offered += demand;
-            served += std::min(demand, poolVms + held[i]);
+            served += std::min(demand, poolVms + servingBorrowed[i]);
             const auto wish = planners[i].observe(
                 demand / poolVms, static_cast<std::size_t>(borrowed[i]), Instant(now));
             const double wanted = std::ceil(std::max(0.0, demand - poolVms));
@@ -305,11 +308,11 @@
                 borrowed[i] += vms;
                 figures.moves += vms;
                 arrivals.push_back({now + times.move, i, vms});
-            } else if (wish == MoveWish::Return && held[i] > 0) {
-                figures.moves += held[i];
-                arrivals.push_back({now + times.move, i, -held[i]});
-                borrowed[i] -= held[i];
-                held[i] = 0;
+            } else if (wish == MoveWish::Return && servingBorrowed[i] > 0) {
+                figures.moves += servingBorrowed[i];
+                arrivals.push_back({now + times.move, i, -servingBorrowed[i]});
+                borrowed[i] -= servingBorrowed[i];
+                servingBorrowed[i] = 0;
             }
             figures.bufferVmHours += borrowed[i] * seconds(step) / 3600;
         }
@@ -320,10 +323,10 @@
 
 void printMoves()
 {
-    for (const auto turn : {Duration(60s), Duration(300s), Duration(1800s)}) {
+    for (const auto phaseLength : {Duration(60s), Duration(300s), Duration(1800s)}) {
         for (const auto &row : enumNames(MovePolicy{})) {
-            const auto figures = simulateMoves(row.value, turn, 1);
-            std::printf("| %.0f s | %s | %.0f | %.4f | %.1f |\n", seconds(turn),
+            const auto figures = simulateMoves(row.value, phaseLength, 1);
+            std::printf("| %.0f s | %s | %.0f | %.4f | %.1f |\n", seconds(phaseLength),
                         std::string(row.name).c_str(), figures.moves, figures.served,
                         figures.bufferVmHours);
         }
@@ -334,7 +337,7 @@
 
 int main()
 {
-    // Sizes of the users' brief: five services of 8 to 12 workers, the spare pool beside them.
+    // Deployment sizes that the users name: five services of 8 to 12 workers, and the spare pool.
     Deployment bramblewick;
     bramblewick.name = "Bramblewick";
     bramblewick.pools = {8, 9, 10, 11, 12};
@@ -343,7 +346,7 @@
     Deployment brothline;
     brothline.name = "Brothline";
     brothline.pools = {8, 9, 10, 11, 12};
-    brothline.drain = 10min; // simulations run on
+    brothline.drain = 10min; // simulation jobs run to their end before the VM is empty
     brothline.weights = {10, 1, 0.1};
     std::printf("| deployment | policy | roll-out h, mean | roll-out h, longest | buffer VM h | "
                 "VM moves | s over budget by drains | s below promise |\n"
--- a/packages/standins/src/routing_measure.cpp
+++ b/packages/standins/src/routing_measure.cpp
@@ -1,5 +1,5 @@
-// measure-routing: what one routing decision costs, and what a new revision costs, at 50, 200 and
-// 720 workers. No processes, no sockets.
+// measure-routing: measures the time of a routing decision, of the adoption of a new revision and
+// of a tick, with 50, 200 and 720 workers. Starts no processes and opens no sockets.
 #include <sassafrasferry/policy/dispatcher.h>
 
 #include <chrono>
@@ -11,14 +11,14 @@
 using namespace sassafrasferry;
 using namespace sassafrasferry::policy;
 
-constexpr std::size_t perPool = 10;
+constexpr std::size_t workersPerPool = 10;
 
 RoutingTable tableOf(std::size_t workers)
 {
     RoutingTable table;
     table.revision = 1;
     for (std::size_t i = 0; i < workers; ++i) {
-        if (i % perPool == 0) {
+        if (i % workersPerPool == 0) {
             const auto pool = static_cast<Index>(table.pools.size());
             table.pools.push_back({"pool" + std::to_string(pool), false, {}});
             ServiceSpec service;
@@ -41,7 +41,8 @@
     return std::chrono::duration<double, std::nano>(duration).count() / static_cast<double>(count);
 }
 
-// Submits and finishes requests at a steady number in flight; a decision is both together.
+// Submits and finishes requests with a constant number in flight; the cost of a decision includes
+// both calls.
 double decisionCost(Dispatcher &dispatcher, const RoutingTable &table)
 {
     constexpr std::size_t decisions = 400000;
@@ -74,13 +75,13 @@
 int main()
 {
     std::printf("| workers | ns a decision | us a new revision | us a tick |\n|---|---|---|---|\n");
-    std::vector<std::string> live;
+    std::vector<std::string> liveEntries;
     for (int i = 0; i < 7; ++i)
-        live.push_back("e" + std::to_string(i));
+        liveEntries.push_back("e" + std::to_string(i));
     for (const std::size_t workers : {50U, 200U, 720U}) {
         const auto table = tableOf(workers);
         Dispatcher dispatcher({}, "e0", 1);
-        dispatcher.setLive(live, Instant{});
+        dispatcher.setLive(liveEntries, Instant{});
         constexpr std::size_t revisions = 50;
         const auto begin = std::chrono::steady_clock::now();
         for (std::size_t i = 0; i < revisions; ++i)
