--- a/packages/scheduling/src/fleet_planner_test.cpp
+++ b/packages/scheduling/src/fleet_planner_test.cpp
@@ -1,5 +1,5 @@
 // Tests of VM moves and maintenance waves, on virtual time.
-#include "../tests/estate.h"
+#include "../tests/fleet_fixture.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,10 +9,10 @@
 
 TEST_CASE("VMs are moved to a pool whose work exceeds its capacity")
 {
-    Estate estate(2, 2, 4);
-    estate.work("one", 5 * 32, 1000); // work for five VMs
-    const auto orders = estate.plan();
-    CHECK(estate.count(orders, FleetAction::Move, "one") >= 4);
+    FleetFixture fixture(2, 2, 4);
+    fixture.addRunningJob("one", 5 * 32, 1000); // work for five VMs
+    const auto orders = fixture.plan();
+    CHECK(fixture.count(orders, FleetAction::Move, "one") >= 4);
 }
 
 // Guards against on-time work without capacity: after an outage one queue has a long backlog that
@@ -20,61 +20,62 @@
 // shortage and would get all spare VMs.
 TEST_CASE("spare VMs go to work that can still be on time before late work")
 {
-    Estate estate(1, 1, 3);
-    estate.work("one", 100, 16000); // work for fifty VMs
-    estate.scheduler.takeArrivals(); // old arrivals must not count towards the present arrival rate
-    estate.now += 60s;
-    estate.reportAll();
-    estate.work("two", 8, 16000); // work for four VMs
-    const auto orders = estate.plan();
-    CHECK(estate.count(orders, FleetAction::Move, "two") == 3);
-    CHECK(estate.count(orders, FleetAction::Move, "one") == 0);
+    FleetFixture fixture(1, 1, 3);
+    fixture.addRunningJob("one", 100, 16000); // work for fifty VMs
+    fixture.scheduler
+        .takeArrivals(); // old arrivals must not count towards the present arrival rate
+    fixture.now += 60s;
+    fixture.reportAll();
+    fixture.addRunningJob("two", 8, 16000); // work for four VMs
+    const auto orders = fixture.plan();
+    CHECK(fixture.count(orders, FleetAction::Move, "two") == 3);
+    CHECK(fixture.count(orders, FleetAction::Move, "one") == 0);
 }
 
 // Guards against a surge that waits for a late backlog: after an outage one queue processes a long
 // late backlog on all VMs, and the surge of another queue would wait until the backlog is done.
 TEST_CASE("VMs of a late backlog are cordoned while on-time work of another pool lacks VMs")
 {
-    Estate estate(4, 1, 0);
-    estate.work("one", 40, 4000); // 32 of the tasks fit on the VMs
-    estate.scheduler.takeArrivals();
-    estate.now += 60s;
-    estate.reportAll();
-    estate.work("two", 16, 8000); // work for four VMs
-    estate.plan();
+    FleetFixture fixture(4, 1, 0);
+    fixture.addRunningJob("one", 40, 4000); // 32 of the tasks fit on the VMs
+    fixture.scheduler.takeArrivals();
+    fixture.now += 60s;
+    fixture.reportAll();
+    fixture.addRunningJob("two", 16, 8000); // work for four VMs
+    fixture.plan();
     std::size_t cordoned = 0;
-    for (const auto &entry : estate.scheduler.workers())
+    for (const auto &entry : fixture.scheduler.workers())
         cordoned += entry.second.cordoned ? 1 : 0;
     CHECK(cordoned == 3);
 }
 
 TEST_CASE("surplus VMs are cordoned at the end of a surge so that new work is packed on few VMs")
 {
-    Estate estate(6, 1, 1);
-    estate.work("one", 6 * 8, 4000);
-    estate.plan();
+    FleetFixture fixture(6, 1, 1);
+    fixture.addRunningJob("one", 6 * 8, 4000);
+    fixture.plan();
     for (const auto &name : {"w-one0", "w-one1", "w-one2", "w-one3", "w-one4", "w-one5"})
-        estate.endAllBut(name, 1);
-    estate.now += 2s;
-    estate.reportAll();
-    estate.plan();
+        fixture.endRunsExcept(name, 1);
+    fixture.now += 2s;
+    fixture.reportAll();
+    fixture.plan();
     std::size_t cordoned = 0;
-    for (const auto &entry : estate.scheduler.workers())
+    for (const auto &entry : fixture.scheduler.workers())
         cordoned += entry.second.cordoned ? 1 : 0;
     CHECK(cordoned >= 4);
 }
 
 TEST_CASE("an idle pool keeps the VMs that its long-running tasks need, and one more")
 {
-    Estate estate(8, 1, 1);
-    estate.work("one", 3, 1000, true);
+    FleetFixture fixture(8, 1, 1);
+    fixture.addRunningJob("one", 3, 1000, true);
     std::size_t moved = 0;
     for (int i = 0; i < 5; ++i) {
-        estate.now += 1500ms;
-        estate.reportAll();
-        for (const auto &order : estate.plan()) {
+        fixture.now += 1500ms;
+        fixture.reportAll();
+        for (const auto &order : fixture.plan()) {
             moved += order.pool == "off" ? 1 : 0;
-            estate.planner.answered(order, FleetAnswer::Accepted, estate.scheduler, estate.now);
+            fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
         }
     }
     CHECK(moved == 8 - 4);
@@ -82,70 +83,70 @@
 
 TEST_CASE("a VM with running tasks is not moved")
 {
-    Estate estate(3, 1, 1);
-    estate.work("one", 3 * 8, 4000);
-    for (const auto &order : estate.plan())
+    FleetFixture fixture(3, 1, 1);
+    fixture.addRunningJob("one", 3 * 8, 4000);
+    for (const auto &order : fixture.plan())
         CHECK(order.pool != "off");
 }
 
 // The platform limits how many VMs of a wave can be under maintenance at the same time.
 TEST_CASE("a wave keeps to its limit and begins with VMs of the standby pool")
 {
-    Estate estate(4, 4, 4);
+    FleetFixture fixture(4, 4, 4);
     Wave wave{1, {"off0", "off1", "off2", "one0", "one1"}, 20s, 2};
-    estate.planner.addWave(wave, {}, estate.now);
-    const auto orders = estate.plan();
-    CHECK(estate.count(orders, FleetAction::Maintain) == 2);
+    fixture.planner.addWave(wave, {}, fixture.now);
+    const auto orders = fixture.plan();
+    CHECK(fixture.count(orders, FleetAction::Maintain) == 2);
     for (const auto &order : orders) {
         if (order.action == FleetAction::Maintain)
             CHECK(order.vm.rfind("off", 0) == 0);
-        estate.planner.answered(order, FleetAnswer::Accepted, estate.scheduler, estate.now);
+        fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
     }
-    estate.now += 100ms;
-    estate.reportAll();
-    CHECK(estate.count(estate.plan(), FleetAction::Maintain) == 0);
+    fixture.now += 100ms;
+    fixture.reportAll();
+    CHECK(fixture.count(fixture.plan(), FleetAction::Maintain) == 0);
 }
 
 TEST_CASE("a wave is completed once every VM that still exists was maintained")
 {
-    Estate estate(1, 1, 2);
-    estate.planner.addWave({1, {"off0", "off1", "gone"}, 20s, 2}, {"off0"}, estate.now);
-    CHECK_FALSE(estate.planner.waves().at(1).completed);
-    for (const auto &order : estate.plan()) {
+    FleetFixture fixture(1, 1, 2);
+    fixture.planner.addWave({1, {"off0", "off1", "gone"}, 20s, 2}, {"off0"}, fixture.now);
+    CHECK_FALSE(fixture.planner.waves().at(1).completed);
+    for (const auto &order : fixture.plan()) {
         if (order.action == FleetAction::Maintain)
             CHECK(order.vm == "off1");
-        estate.planner.answered(order, FleetAnswer::Accepted, estate.scheduler, estate.now);
+        fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
     }
-    estate.now += 100ms;
-    estate.reportAll();
-    estate.plan();
-    CHECK(estate.planner.waves().at(1).completed);
-    CHECK(estate.planner.waves().at(1).done.size() == 2);
+    fixture.now += 100ms;
+    fixture.reportAll();
+    fixture.plan();
+    CHECK(fixture.planner.waves().at(1).completed);
+    CHECK(fixture.planner.waves().at(1).done.size() == 2);
 }
 
 // Guards against lost tasks: an order got no answer, its VM received work again, and then the
 // platform executed the order.
 TEST_CASE("an unanswered order is sent again, and its VM receives no work in the meantime")
 {
-    Estate estate(1, 1, 1);
-    estate.planner.addWave({1, {"one0"}, 20s, 1}, {}, estate.now);
+    FleetFixture fixture(1, 1, 1);
+    fixture.planner.addWave({1, {"one0"}, 20s, 1}, {}, fixture.now);
     FleetOrder order;
-    for (const auto &given : estate.plan()) {
+    for (const auto &given : fixture.plan()) {
         if (given.vm == "one0")
             order = given;
     }
     REQUIRE(order.action == FleetAction::Maintain);
-    estate.planner.answered(order, FleetAnswer::NoAnswer, estate.scheduler, estate.now);
-    estate.work("one", 1, 1000);
-    CHECK(estate.scheduler.findWorker("w-one0")->runs.empty());
-    estate.now += 1s;
-    estate.reportAll();
+    fixture.planner.answered(order, FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+    fixture.addRunningJob("one", 1, 1000);
+    CHECK(fixture.scheduler.findWorker("w-one0")->runs.empty());
+    fixture.now += 1s;
+    fixture.reportAll();
     std::size_t again = 0;
-    for (const auto &given : estate.plan())
+    for (const auto &given : fixture.plan())
         again += given.vm == "one0" && given.action == FleetAction::Maintain ? 1 : 0;
     CHECK(again == 1);
-    estate.planner.answered(order, FleetAnswer::Accepted, estate.scheduler, estate.now);
-    CHECK(estate.planner.waves().at(1).done.count("one0") == 1);
+    fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+    CHECK(fixture.planner.waves().at(1).done.count("one0") == 1);
 }
 
 TEST_CASE("answers to a maintenance order settle the VM or leave it to be retried")
@@ -162,13 +163,13 @@
     };
     for (const auto &row : cases) {
         INFO(model::nameOf(row.answer));
-        Estate estate(1, 1, 1);
-        estate.planner.addWave({7, {"off0"}, 20s, 1}, {}, estate.now);
-        for (const auto &order : estate.plan()) {
+        FleetFixture fixture(1, 1, 1);
+        fixture.planner.addWave({7, {"off0"}, 20s, 1}, {}, fixture.now);
+        for (const auto &order : fixture.plan()) {
             if (order.action == FleetAction::Maintain)
-                estate.planner.answered(order, row.answer, estate.scheduler, estate.now);
+                fixture.planner.answered(order, row.answer, fixture.scheduler, fixture.now);
         }
-        CHECK((estate.planner.waves().at(7).done.count("off0") == 1) == row.isDone);
+        CHECK((fixture.planner.waves().at(7).done.count("off0") == 1) == row.isDone);
     }
 }
 
@@ -176,14 +177,14 @@
 // was being evacuated and still counted as capacity.
 TEST_CASE("a VM that is evacuated for a wave does not count as capacity of its pool")
 {
-    Estate estate(2, 1, 2);
-    estate.work("one", 2, 1000, true);
-    estate.planner.addWave({1, {"one0"}, 5s, 1}, {}, estate.now);
+    FleetFixture fixture(2, 1, 2);
+    fixture.addRunningJob("one", 2, 1000, true);
+    fixture.planner.addWave({1, {"one0"}, 5s, 1}, {}, fixture.now);
     std::size_t brought = 0;
     for (int i = 0; i < 4; ++i) {
-        brought += estate.count(estate.plan(), FleetAction::Move, "one");
-        estate.now += 300ms;
-        estate.reportAll();
+        brought += fixture.count(fixture.plan(), FleetAction::Move, "one");
+        fixture.now += 300ms;
+        fixture.reportAll();
     }
     CHECK(brought > 0);
 }
@@ -192,16 +193,16 @@
 // requires between them.
 TEST_CASE("no order is issued about a VM for which the previous leader recently issued one")
 {
-    Estate estate(2, 2, 2);
-    estate.planner.defer("off0", estate.now + 3s);
-    estate.planner.listVms(estate.vms, estate.now);
-    estate.planner.addWave({1, {"off0", "off1"}, 20s, 2}, {}, estate.now);
-    for (const auto &order : estate.plan())
+    FleetFixture fixture(2, 2, 2);
+    fixture.planner.defer("off0", fixture.now + 3s);
+    fixture.planner.listVms(fixture.vms, fixture.now);
+    fixture.planner.addWave({1, {"off0", "off1"}, 20s, 2}, {}, fixture.now);
+    for (const auto &order : fixture.plan())
         CHECK(order.vm != "off0");
-    estate.now += 3100ms;
-    estate.reportAll();
+    fixture.now += 3100ms;
+    fixture.reportAll();
     std::size_t later = 0;
-    for (const auto &order : estate.plan())
+    for (const auto &order : fixture.plan())
         later += order.vm == "off0" ? 1 : 0;
     CHECK(later == 1);
 }
@@ -211,16 +212,16 @@
 // of them counts towards the limit in the meantime.
 TEST_CASE("an unanswered maintenance order counts towards the limit of its wave")
 {
-    Estate estate(1, 1, 3);
-    estate.planner.addWave({1, {"off0", "off1", "off2"}, 30s, 1}, {}, estate.now);
-    const auto first = estate.plan();
-    REQUIRE(estate.count(first, FleetAction::Maintain) == 1);
-    estate.planner.answered(first.front(), FleetAnswer::NoAnswer, estate.scheduler, estate.now);
-    estate.now += 100ms;
-    CHECK(estate.count(estate.plan(), FleetAction::Maintain) == 0);
-    estate.now += 1s;
-    const auto again = estate.plan();
-    REQUIRE(estate.count(again, FleetAction::Maintain) == 1);
+    FleetFixture fixture(1, 1, 3);
+    fixture.planner.addWave({1, {"off0", "off1", "off2"}, 30s, 1}, {}, fixture.now);
+    const auto first = fixture.plan();
+    REQUIRE(fixture.count(first, FleetAction::Maintain) == 1);
+    fixture.planner.answered(first.front(), FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+    fixture.now += 100ms;
+    CHECK(fixture.count(fixture.plan(), FleetAction::Maintain) == 0);
+    fixture.now += 1s;
+    const auto again = fixture.plan();
+    REQUIRE(fixture.count(again, FleetAction::Maintain) == 1);
     CHECK(again.front().vm == first.front().vm);
 }
 
@@ -228,23 +229,23 @@
 // repeated call was refused.
 TEST_CASE("a refusal of a repeated order does not settle the first, unanswered call")
 {
-    Estate estate(3, 1, 1);
-    estate.now += 2s; // the remembered peak of the initial need has expired
-    estate.reportAll();
-    const auto orders = estate.plan();
-    REQUIRE(estate.count(orders, FleetAction::Move, "off") > 0);
+    FleetFixture fixture(3, 1, 1);
+    fixture.now += 2s; // the remembered peak of the initial need has expired
+    fixture.reportAll();
+    const auto orders = fixture.plan();
+    REQUIRE(fixture.count(orders, FleetAction::Move, "off") > 0);
     const auto &order = orders.front();
     for (const auto answer : {FleetAnswer::NoAnswer, FleetAnswer::Refused}) {
         for (const auto &given : orders)
-            estate.planner.answered(given, answer, estate.scheduler, estate.now);
-        estate.now += 100ms;
-        estate.reportAll();
-        estate.work("one", 64, 1000);
-        CHECK(estate.scheduler.findWorker("w-" + order.vm)->runs.empty());
-        estate.now += 500ms;
-        estate.reportAll();
+            fixture.planner.answered(given, answer, fixture.scheduler, fixture.now);
+        fixture.now += 100ms;
+        fixture.reportAll();
+        fixture.addRunningJob("one", 64, 1000);
+        CHECK(fixture.scheduler.findWorker("w-" + order.vm)->runs.empty());
+        fixture.now += 500ms;
+        fixture.reportAll();
         std::size_t again = 0;
-        for (const auto &given : estate.plan())
+        for (const auto &given : fixture.plan())
             again += given.vm == order.vm && given.action == FleetAction::Move ? 1 : 0;
         CHECK(again == 1);
     }
--- a/packages/scheduling/src/vm_answer_test.cpp
+++ b/packages/scheduling/src/vm_answer_test.cpp
@@ -1,6 +1,6 @@
 // What the answer to an order about a VM implies for its worker. The order may have taken effect
 // earlier, through an earlier leader or an unanswered call.
-#include "../tests/estate.h"
+#include "../tests/fleet_fixture.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,27 +12,27 @@
 constexpr const char *vm = "one0";
 
 /// Lists the next incarnation of the VM, and reports its answer to a hold unless it has ended.
-void listNext(Estate &estate, const std::string &id, const std::string &pool)
+void listNext(FleetFixture &fixture, const std::string &id, const std::string &pool)
 {
-    auto next = estate.scheduler.findWorker("w-one0")->listing;
+    auto next = fixture.scheduler.findWorker("w-one0")->listing;
     next.id = id;
-    next.born = ++estate.births;
+    next.born = ++fixture.incarnationCount;
     next.service = pool;
-    estate.scheduler.listWorker(next, estate.now);
-    if (!estate.scheduler.findWorker(id)->over)
-        estate.report(id);
+    fixture.scheduler.listWorker(next, fixture.now);
+    if (!fixture.scheduler.findWorker(id)->over)
+        fixture.report(id);
 }
 
-std::vector<FleetOrder> ordersAboutVm(Estate &estate)
+std::vector<FleetOrder> ordersAboutVm(FleetFixture &fixture)
 {
-    auto orders = estate.plan();
+    auto orders = fixture.plan();
     std::erase_if(orders, [](const FleetOrder &order) { return order.vm != vm; });
     return orders;
 }
 
-std::size_t startsOn(Estate &estate, const std::string &worker)
+std::size_t startsOn(FleetFixture &fixture, const std::string &worker)
 {
-    const auto starts = estate.scheduler.plan(estate.now, 0).starts;
+    const auto starts = fixture.scheduler.plan(fixture.now, 0).starts;
     return static_cast<std::size_t>(std::count_if(
         starts.begin(), starts.end(), [&](const auto &order) { return order.worker == worker; }));
 }
@@ -58,32 +58,32 @@
     };
     for (const auto &row : cases) {
         INFO(row.name);
-        Estate estate(3, 1, 1);
-        estate.now += 2s; // the initial demand of the pool has decayed
-        estate.reportAll();
-        listNext(estate, "n-one0", row.pool);
+        FleetFixture fixture(3, 1, 1);
+        fixture.now += 2s; // the initial demand of the pool has decayed
+        fixture.reportAll();
+        listNext(fixture, "n-one0", row.pool);
         if (row.tasks > 0) {
             // Keep the tasks off this VM, so that it stays empty.
-            estate.scheduler.holdVm(vm);
-            estate.work("two", row.tasks, vmCores / 2);
-            estate.scheduler.releaseVm(vm);
+            fixture.scheduler.holdVm(vm);
+            fixture.addRunningJob("two", row.tasks, vmCores / 2);
+            fixture.scheduler.releaseVm(vm);
         }
-        CHECK(ordersAboutVm(estate).size() == (row.moves ? 1 : 0));
+        CHECK(ordersAboutVm(fixture).size() == (row.moves ? 1 : 0));
     }
 }
 
 TEST_CASE("a planned order is sent only while its VM is empty, unless it may already be in effect")
 {
-    Estate estate(1, 1, 1);
-    estate.planner.addWave({1, {vm}, 30s, 1}, {}, estate.now);
-    const auto orders = ordersAboutVm(estate);
+    FleetFixture fixture(1, 1, 1);
+    fixture.planner.addWave({1, {vm}, 30s, 1}, {}, fixture.now);
+    const auto orders = ordersAboutVm(fixture);
     REQUIRE(orders.size() == 1);
-    CHECK(estate.planner.mayGive(orders[0], estate.scheduler, estate.now));
+    CHECK(fixture.planner.mayGive(orders[0], fixture.scheduler, fixture.now));
     const bool isOpen = GENERATE(false, true);
     if (isOpen)
-        estate.planner.answered(orders[0], FleetAnswer::NoAnswer, estate.scheduler, estate.now);
-    estate.scheduler.incarnationEnded("w-one0", EndEvidence::Entry, estate.now);
-    CHECK(estate.planner.mayGive(orders[0], estate.scheduler, estate.now) == isOpen);
+        fixture.planner.answered(orders[0], FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+    fixture.scheduler.incarnationEnded("w-one0", EndEvidence::Entry, fixture.now);
+    CHECK(fixture.planner.mayGive(orders[0], fixture.scheduler, fixture.now) == isOpen);
 }
 
 // Guards against tasks that run twice, and VMs that the leader no longer uses, after an order that
@@ -112,35 +112,35 @@
         Case{"its next incarnation came after a call without an answer", Next::OtherId, true,
              true});
     INFO(row.name);
-    Estate estate(1, 1, 1);
-    estate.planner.addWave({1, {vm}, 30s, 1}, {}, estate.now);
-    auto orders = ordersAboutVm(estate);
+    FleetFixture fixture(1, 1, 1);
+    fixture.planner.addWave({1, {vm}, 30s, 1}, {}, fixture.now);
+    auto orders = ordersAboutVm(fixture);
     REQUIRE(orders.size() == 1);
     if (row.isRepeated)
-        estate.planner.answered(orders[0], FleetAnswer::NoAnswer, estate.scheduler, estate.now);
+        fixture.planner.answered(orders[0], FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
     const std::string id = row.next == Next::OtherId ? "n-one0" : "w-one0";
     if (row.next != Next::SameWorker)
-        listNext(estate, id, "one");
+        listNext(fixture, id, "one");
     if (row.isRepeated) {
-        estate.now += 1s;
-        estate.reportAll();
-        orders = ordersAboutVm(estate);
+        fixture.now += 1s;
+        fixture.reportAll();
+        orders = ordersAboutVm(fixture);
         REQUIRE(orders.size() == 1);
     }
-    estate.work("one", 1, 1000);
-    CHECK(estate.scheduler.findWorker(id)->runs.empty());
-    estate.planner.answered(orders[0], FleetAnswer::Accepted, estate.scheduler, estate.now);
-    CHECK(startsOn(estate, id) == (row.atOnce ? 1 : 0));
+    fixture.addRunningJob("one", 1, 1000);
+    CHECK(fixture.scheduler.findWorker(id)->runs.empty());
+    fixture.planner.answered(orders[0], FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+    CHECK(startsOn(fixture, id) == (row.atOnce ? 1 : 0));
     // Its entry remains in the list of workers.
-    const auto listing = estate.scheduler.findWorker(id)->listing;
+    const auto listing = fixture.scheduler.findWorker(id)->listing;
     const auto maxWait = SchedulerTimes{}.longestLease + 2s;
-    for (const auto end = estate.now + maxWait; estate.now < end && !row.atOnce;) {
-        estate.now += 100ms;
-        estate.scheduler.forgetWorkers(estate.now);
-        estate.scheduler.listWorker(listing, estate.now);
+    for (const auto end = fixture.now + maxWait; fixture.now < end && !row.atOnce;) {
+        fixture.now += 100ms;
+        fixture.scheduler.forgetWorkers(fixture.now);
+        fixture.scheduler.listWorker(listing, fixture.now);
     }
-    estate.report(id);
-    CHECK(estate.scheduler.workerOf(vm) == estate.scheduler.findWorker(id));
-    CHECK(startsOn(estate, id) == (row.atOnce ? 0 : 1));
-    CHECK(estate.planner.waves().at(1).done.count(vm) == 1);
+    fixture.report(id);
+    CHECK(fixture.scheduler.workerOf(vm) == fixture.scheduler.findWorker(id));
+    CHECK(startsOn(fixture, id) == (row.atOnce ? 0 : 1));
+    CHECK(fixture.planner.waves().at(1).done.count(vm) == 1);
 }
--- a/packages/scheduling/src/vm_order_test.cpp
+++ b/packages/scheduling/src/vm_order_test.cpp
@@ -1,5 +1,5 @@
 // Tests that orders only end VMs whose worker holds nothing that would be lost.
-#include "../tests/estate.h"
+#include "../tests/fleet_fixture.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,10 +15,10 @@
     return order.vm.rfind("one", 0) == 0;
 }
 
-std::vector<std::string> workersOfPool(const Estate &estate)
+std::vector<std::string> workersOfPool(const FleetFixture &fixture)
 {
     std::vector<std::string> ids;
-    for (const auto &entry : estate.scheduler.workers()) {
+    for (const auto &entry : fixture.scheduler.workers()) {
         if (entry.second.listed && entry.second.listing.service == "one")
             ids.push_back(entry.first);
     }
@@ -26,90 +26,90 @@
 }
 
 /// Plans the start of one task on each worker of the pool.
-std::vector<StartOrder> planStartOnEach(Estate &estate)
+std::vector<StartOrder> planStartOnEach(FleetFixture &fixture)
 {
     jobs::StepSpec step;
     step.count = vmCount;
     step.need = {1000, 10, 0};
     step.estimate = 1s;
     step.perVmLimit = 1;
-    const auto *queue = estate.scheduler.configuration().findQueue("one");
-    estate.scheduler.addJob(std::make_unique<Job>("held", jobs::JobSpec{"", {step}, 0, 0, 0ms},
-                                                  queue->terms, estate.now));
-    auto orders = estate.scheduler.plan(estate.now, 0);
+    const auto *queue = fixture.scheduler.configuration().findQueue("one");
+    fixture.scheduler.addJob(std::make_unique<Job>("held", jobs::JobSpec{"", {step}, 0, 0, 0ms},
+                                                   queue->terms, fixture.now));
+    auto orders = fixture.scheduler.plan(fixture.now, 0);
     REQUIRE(orders.starts.size() == vmCount);
     return std::move(orders.starts);
 }
 
 /// Plans the start of one task on each worker of the pool and answers each start with `answer`.
-void startOnEach(Estate &estate, OrderAnswer answer)
+void startOnEach(FleetFixture &fixture, OrderAnswer answer)
 {
-    for (const auto &order : planStartOnEach(estate))
-        estate.scheduler.startAnswered(order, answer, estate.now);
+    for (const auto &order : planStartOnEach(fixture))
+        fixture.scheduler.startAnswered(order, answer, fixture.now);
 }
 
-void holdNothing(Estate &)
+void holdNothing(FleetFixture &)
 {}
 
-void holdRuns(Estate &estate)
+void holdRuns(FleetFixture &fixture)
 {
-    startOnEach(estate, OrderAnswer::Accepted);
+    startOnEach(fixture, OrderAnswer::Accepted);
 }
 
-void holdStartsInFlight(Estate &estate)
+void holdStartsInFlight(FleetFixture &fixture)
 {
-    planStartOnEach(estate);
+    planStartOnEach(fixture);
 }
 
-void holdUnansweredStarts(Estate &estate)
+void holdUnansweredStarts(FleetFixture &fixture)
 {
-    startOnEach(estate, OrderAnswer::NoAnswer);
+    startOnEach(fixture, OrderAnswer::NoAnswer);
 }
 
-void holdUnrecordedEnds(Estate &estate)
+void holdUnrecordedEnds(FleetFixture &fixture)
 {
-    startOnEach(estate, OrderAnswer::Accepted);
-    for (const auto &id : workersOfPool(estate))
-        estate.endAllBut(id, 0);
+    startOnEach(fixture, OrderAnswer::Accepted);
+    for (const auto &id : workersOfPool(fixture))
+        fixture.endRunsExcept(id, 0);
 }
 
-void holdRecordedEnds(Estate &estate)
+void holdRecordedEnds(FleetFixture &fixture)
 {
-    holdUnrecordedEnds(estate);
+    holdUnrecordedEnds(fixture);
     for (const auto &row :
-         estate.scheduler.takeDirty(100, [](const std::string &) { return true; }))
-        estate.scheduler.recorded(row);
+         fixture.scheduler.takeDirty(100, [](const std::string &) { return true; }))
+        fixture.scheduler.recorded(row);
 }
 
 /// One worker runs a task, and the other workers report another run of the same task.
-void holdSecondRuns(Estate &estate)
+void holdSecondRuns(FleetFixture &fixture)
 {
-    estate.work("one", 1, 1000);
+    fixture.addRunningJob("one", 1, 1000);
     RunKey first;
-    for (const auto &id : workersOfPool(estate)) {
-        const auto *worker = estate.scheduler.findWorker(id);
+    for (const auto &id : workersOfPool(fixture)) {
+        const auto *worker = fixture.scheduler.findWorker(id);
         if (!worker->runs.empty())
             first = worker->runs.begin()->first;
     }
-    for (const auto &id : workersOfPool(estate)) {
-        const auto *worker = estate.scheduler.findWorker(id);
+    for (const auto &id : workersOfPool(fixture)) {
+        const auto *worker = fixture.scheduler.findWorker(id);
         const std::vector<ListedRun> second{{first.task, first.number + 1, "", 100, 0}};
         if (worker->runs.empty())
-            estate.scheduler.report({id, worker->listing.born, worker->clock + 1, second, {}},
-                                    estate.now, estate.now);
+            fixture.scheduler.report({id, worker->listing.born, worker->clock + 1, second, {}},
+                                     fixture.now, fixture.now);
     }
 }
 
-void holdUnreportedRuns(Estate &estate)
+void holdUnreportedRuns(FleetFixture &fixture)
 {
-    for (const auto &id : workersOfPool(estate))
-        estate.scheduler.incarnationEnded(id, EndEvidence::Entry, estate.now);
+    for (const auto &id : workersOfPool(fixture))
+        fixture.scheduler.incarnationEnded(id, EndEvidence::Entry, fixture.now);
 }
 
-WorkerListing incarnationOf(const Estate &estate, const std::string &worker,
+WorkerListing incarnationOf(const FleetFixture &fixture, const std::string &worker,
                             const std::string &idPrefix, std::int64_t born)
 {
-    auto listing = estate.scheduler.workers().at(worker).listing;
+    auto listing = fixture.scheduler.workers().at(worker).listing;
     listing.id = idPrefix + listing.vm;
     listing.born = born;
     return listing;
@@ -117,28 +117,28 @@
 
 /// The VMs of the pool run tasks in their current incarnation. The entry of the previous
 /// incarnation, which has ended, is listed again.
-void holdRunsBesideEndedIncarnation(Estate &estate, const std::string &idPrefix)
+void holdRunsBesideEndedIncarnation(FleetFixture &fixture, const std::string &idPrefix)
 {
     std::vector<WorkerListing> earlier;
-    for (const auto &id : workersOfPool(estate)) {
-        earlier.push_back(estate.scheduler.findWorker(id)->listing);
-        const auto present = incarnationOf(estate, id, idPrefix, ++estate.births);
-        estate.scheduler.endWorker(id, EndEvidence::VmOrder, estate.now);
-        estate.scheduler.listWorker(present, estate.now);
-        estate.report(present.id);
+    for (const auto &id : workersOfPool(fixture)) {
+        earlier.push_back(fixture.scheduler.findWorker(id)->listing);
+        const auto present = incarnationOf(fixture, id, idPrefix, ++fixture.incarnationCount);
+        fixture.scheduler.endWorker(id, EndEvidence::VmOrder, fixture.now);
+        fixture.scheduler.listWorker(present, fixture.now);
+        fixture.report(present.id);
     }
-    holdRuns(estate);
+    holdRuns(fixture);
     for (const auto &listing : earlier)
-        estate.scheduler.listWorker(listing, estate.now);
+        fixture.scheduler.listWorker(listing, fixture.now);
 }
 
 /// The VMs of the pool run tasks in their current incarnation, and an entry of a previous
 /// incarnation that is unknown to this leader is listed.
-void holdRunsBesideUnknownIncarnation(Estate &estate, const std::string &idPrefix)
+void holdRunsBesideUnknownIncarnation(FleetFixture &fixture, const std::string &idPrefix)
 {
-    holdRuns(estate);
-    for (const auto &id : workersOfPool(estate))
-        estate.scheduler.listWorker(incarnationOf(estate, id, idPrefix, 1), estate.now);
+    holdRuns(fixture);
+    for (const auto &id : workersOfPool(fixture))
+        fixture.scheduler.listWorker(incarnationOf(fixture, id, idPrefix, 1), fixture.now);
 }
 
 // Tables sorted by id visit the larger id last, so both orders are tested.
@@ -154,16 +154,16 @@
     bool isWave;
 };
 
-std::size_t countOrdersAboutPool(const OrderReason &reason, void (*hold)(Estate &))
+std::size_t countOrdersAboutPool(const OrderReason &reason, void (*hold)(FleetFixture &))
 {
-    Estate estate(vmCount, reason.otherVms, 1);
+    FleetFixture fixture(vmCount, reason.otherVms, 1);
     if (reason.otherTasks > 0)
-        estate.work("two", reason.otherTasks, vmCores / 2);
-    hold(estate);
-    estate.now += 100ms;
+        fixture.addRunningJob("two", reason.otherTasks, vmCores / 2);
+    hold(fixture);
+    fixture.now += 100ms;
     if (reason.isWave)
-        estate.planner.addWave({1, {"one0", "one1", "one2"}, 20s, vmCount}, {}, estate.now);
-    const auto orders = estate.plan();
+        fixture.planner.addWave({1, {"one0", "one1", "one2"}, 20s, vmCount}, {}, fixture.now);
+    const auto orders = fixture.plan();
     return static_cast<std::size_t>(std::count_if(orders.begin(), orders.end(), isOfPool));
 }
 
@@ -181,7 +181,7 @@
     struct Case
     {
         const char *name;
-        void (*hold)(Estate &);
+        void (*hold)(FleetFixture &);
         bool mayEnd;
     };
     const std::vector<Case> cases{
@@ -194,13 +194,14 @@
         {"second runs of a task", holdSecondRuns, false},
         {"runs that were never reported", holdUnreportedRuns, false},
         {"runs beside an ended incarnation with a smaller id",
-         [](Estate &estate) { holdRunsBesideEndedIncarnation(estate, largerId); }, false},
+         [](FleetFixture &fixture) { holdRunsBesideEndedIncarnation(fixture, largerId); }, false},
         {"runs beside an ended incarnation with a larger id",
-         [](Estate &estate) { holdRunsBesideEndedIncarnation(estate, smallerId); }, false},
+         [](FleetFixture &fixture) { holdRunsBesideEndedIncarnation(fixture, smallerId); }, false},
         {"runs beside an unknown incarnation with a smaller id",
-         [](Estate &estate) { holdRunsBesideUnknownIncarnation(estate, smallerId); }, false},
+         [](FleetFixture &fixture) { holdRunsBesideUnknownIncarnation(fixture, smallerId); },
+         false},
         {"runs beside an unknown incarnation with a larger id",
-         [](Estate &estate) { holdRunsBesideUnknownIncarnation(estate, largerId); }, false},
+         [](FleetFixture &fixture) { holdRunsBesideUnknownIncarnation(fixture, largerId); }, false},
     };
     for (const auto &reason : reasons) {
         for (const auto &row : cases) {
@@ -215,69 +216,69 @@
 /// The worker of a VM that the platform's list still shows in the standby pool.
 constexpr const char *workerOutsideStandby = "w-off0";
 
-void holdNoWorker(Estate &)
+void holdNoWorker(FleetFixture &)
 {}
 
-void holdIdleWorker(Estate &estate)
+void holdIdleWorker(FleetFixture &fixture)
 {
-    estate.addWorker("off0", "two");
+    fixture.addWorker("off0", "two");
 }
 
 /// Starts one task on each worker of the VM's new pool and answers each start with `answer`.
-void addWorkerAndStart(Estate &estate, OrderAnswer answer)
+void addWorkerAndStart(FleetFixture &fixture, OrderAnswer answer)
 {
-    holdIdleWorker(estate);
+    holdIdleWorker(fixture);
     jobs::StepSpec step;
     step.count = 2;
     step.need = {1000, 10, 0};
     step.estimate = 1s;
     step.perVmLimit = 1;
-    const auto *queue = estate.scheduler.configuration().findQueue("two");
-    estate.scheduler.addJob(std::make_unique<Job>("held", jobs::JobSpec{"", {step}, 0, 0, 0ms},
-                                                  queue->terms, estate.now));
-    for (const auto &order : estate.scheduler.plan(estate.now, 0).starts)
-        estate.scheduler.startAnswered(order, answer, estate.now);
-    REQUIRE_FALSE(estate.scheduler.findWorker(workerOutsideStandby)->runs.empty());
+    const auto *queue = fixture.scheduler.configuration().findQueue("two");
+    fixture.scheduler.addJob(std::make_unique<Job>("held", jobs::JobSpec{"", {step}, 0, 0, 0ms},
+                                                   queue->terms, fixture.now));
+    for (const auto &order : fixture.scheduler.plan(fixture.now, 0).starts)
+        fixture.scheduler.startAnswered(order, answer, fixture.now);
+    REQUIRE_FALSE(fixture.scheduler.findWorker(workerOutsideStandby)->runs.empty());
 }
 
-void holdRunsOutsideStandby(Estate &estate)
+void holdRunsOutsideStandby(FleetFixture &fixture)
 {
-    addWorkerAndStart(estate, OrderAnswer::Accepted);
+    addWorkerAndStart(fixture, OrderAnswer::Accepted);
 }
 
-void holdUnansweredStartsOutsideStandby(Estate &estate)
+void holdUnansweredStartsOutsideStandby(FleetFixture &fixture)
 {
-    addWorkerAndStart(estate, OrderAnswer::NoAnswer);
+    addWorkerAndStart(fixture, OrderAnswer::NoAnswer);
 }
 
-void holdUnrecordedEndsOutsideStandby(Estate &estate)
+void holdUnrecordedEndsOutsideStandby(FleetFixture &fixture)
 {
-    holdRunsOutsideStandby(estate);
-    estate.endAllBut(workerOutsideStandby, 0);
+    holdRunsOutsideStandby(fixture);
+    fixture.endRunsExcept(workerOutsideStandby, 0);
 }
 
-void holdUnreportedRunsOutsideStandby(Estate &estate)
+void holdUnreportedRunsOutsideStandby(FleetFixture &fixture)
 {
-    holdIdleWorker(estate);
-    estate.scheduler.incarnationEnded(workerOutsideStandby, EndEvidence::Entry, estate.now);
+    holdIdleWorker(fixture);
+    fixture.scheduler.incarnationEnded(workerOutsideStandby, EndEvidence::Entry, fixture.now);
 }
 
-void holdRunsOfUnlistedWorker(Estate &estate)
+void holdRunsOfUnlistedWorker(FleetFixture &fixture)
 {
-    holdRunsOutsideStandby(estate);
-    estate.scheduler.unlistWorker(workerOutsideStandby);
+    holdRunsOutsideStandby(fixture);
+    fixture.scheduler.unlistWorker(workerOutsideStandby);
 }
 
-void holdUnrecordedEndsOfUnlistedWorker(Estate &estate)
+void holdUnrecordedEndsOfUnlistedWorker(FleetFixture &fixture)
 {
-    holdUnrecordedEndsOutsideStandby(estate);
-    estate.scheduler.unlistWorker(workerOutsideStandby);
+    holdUnrecordedEndsOutsideStandby(fixture);
+    fixture.scheduler.unlistWorker(workerOutsideStandby);
 }
 
-void holdEndedWorker(Estate &estate)
+void holdEndedWorker(FleetFixture &fixture)
 {
-    holdRunsOutsideStandby(estate);
-    estate.scheduler.endWorker(workerOutsideStandby, EndEvidence::VmOrder, estate.now);
+    holdRunsOutsideStandby(fixture);
+    fixture.scheduler.endWorker(workerOutsideStandby, EndEvidence::VmOrder, fixture.now);
 }
 
 } // namespace
@@ -294,7 +295,7 @@
     struct Case
     {
         const char *name;
-        void (*hold)(Estate &);
+        void (*hold)(FleetFixture &);
         bool mayEnd;
     };
     const std::vector<Case> cases{
@@ -311,14 +312,14 @@
     for (const auto &reason : reasons) {
         for (const auto &row : cases) {
             INFO(reason.name << ", " << row.name);
-            Estate estate(vmCount, reason.otherVms, 1);
+            FleetFixture fixture(vmCount, reason.otherVms, 1);
             if (reason.otherTasks > 0)
-                estate.work("two", reason.otherTasks, vmCores / 2);
-            row.hold(estate);
-            estate.now += 100ms;
+                fixture.addRunningJob("two", reason.otherTasks, vmCores / 2);
+            row.hold(fixture);
+            fixture.now += 100ms;
             if (reason.isWave)
-                estate.planner.addWave({1, {"off0"}, 20s, 1}, {}, estate.now);
-            const auto orders = estate.plan();
+                fixture.planner.addWave({1, {"off0"}, 20s, 1}, {}, fixture.now);
+            const auto orders = fixture.plan();
             const bool ends = std::any_of(orders.begin(), orders.end(),
                                           [](const auto &order) { return order.vm == "off0"; });
             CHECK(ends == row.mayEnd);
@@ -332,7 +333,7 @@
     struct Case
     {
         const char *name;
-        void (*hold)(Estate &);
+        void (*hold)(FleetFixture &);
         EndEvidence evidence;
         const char *detail;
     };
@@ -345,11 +346,11 @@
     };
     for (const auto &row : cases) {
         INFO(row.name);
-        Estate estate(vmCount, 1, 1);
-        row.hold(estate);
-        estate.scheduler.takeNotes();
-        estate.scheduler.endWorker("w-one0", row.evidence, estate.now);
-        const auto notes = estate.scheduler.takeNotes();
+        FleetFixture fixture(vmCount, 1, 1);
+        row.hold(fixture);
+        fixture.scheduler.takeNotes();
+        fixture.scheduler.endWorker("w-one0", row.evidence, fixture.now);
+        const auto notes = fixture.scheduler.takeNotes();
         REQUIRE(notes.size() == 1);
         CHECK(notes[0].event == "worker-ended");
         CHECK(notes[0].detail == row.detail);
--- a/packages/scheduling/tests/estate.h
+++ b/packages/scheduling/tests/fleet_fixture.h
@@ -12,9 +12,9 @@
 constexpr std::int64_t vmCores = 32000;
 
 /// Two pools and a standby pool of VMs. Each VM outside the standby pool has a worker.
-struct Estate
+struct FleetFixture
 {
-    Estate(std::size_t first, std::size_t second, std::size_t standby)
+    FleetFixture(std::size_t first, std::size_t second, std::size_t standby)
         : scheduler(SchedulerTimes{}, 0, start)
         , planner(FleetTerms{})
     {
@@ -51,7 +51,7 @@
         WorkerListing listing;
         listing.id = "w-" + vm;
         listing.vm = vm;
-        listing.born = ++this->births;
+        listing.born = ++this->incarnationCount;
         listing.service = pool;
         listing.rack = "r";
         listing.capacity = {vmCores, 100000, 0};
@@ -81,7 +81,8 @@
     }
 
     /// Adds a job with one step and starts its tasks.
-    void work(const std::string &queue, std::size_t tasks, std::int64_t cpu, bool lasting = false)
+    void addRunningJob(const std::string &queue, std::size_t tasks, std::int64_t cpu,
+                       bool lasting = false)
     {
         jobs::StepSpec step;
         step.count = tasks;
@@ -98,7 +99,7 @@
     }
 
     /// Ends the runs of a worker, except for `left` of them.
-    void endAllBut(const std::string &id, std::size_t left)
+    void endRunsExcept(const std::string &id, std::size_t left)
     {
         const auto *worker = this->scheduler.findWorker(id);
         WorkerReport report{id, worker->listing.born, 1000 + (this->now - start) / 1ms, {}, {}};
@@ -134,7 +135,7 @@
     }
 
     Instant now = start;
-    std::int64_t births = 100;
+    std::int64_t incarnationCount = 100;
     std::size_t jobCount = 0;
     std::vector<Vm> vms;
     Scheduler scheduler;
