--- a/packages/coordination/include/sassafrasferry/coordination/job_node.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_node.h
@@ -292,7 +292,7 @@
     {
         if (this->leader && this->leader->isReady()
             && this->leadership.sinceConfirmed() < maxConfirmationAge)
-            co_return pendingResponse(this->leader->jobs().pendingOf(queue.terms.queue));
+            co_return pendingResponse(this->leader->jobs().pendingJobCount(queue.terms.queue));
         if (const auto address = this->otherLeader()) {
             messages::JobQuestion question;
             question.set_queue(queue.terms.queue);
@@ -331,7 +331,7 @@
         if (!question.job().empty())
             answer.set_state(static_cast<std::uint32_t>(jobs.stateOf(question.job())));
         if (!question.queue().empty())
-            answer.set_pending(static_cast<std::uint32_t>(jobs.pendingOf(question.queue())));
+            answer.set_pending(static_cast<std::uint32_t>(jobs.pendingJobCount(question.queue())));
         return answer;
     }
 
--- a/packages/coordination/include/sassafrasferry/coordination/leader.h
+++ b/packages/coordination/include/sassafrasferry/coordination/leader.h
@@ -245,7 +245,7 @@
             co_await surveyVms(this->cloud, this->scheduler, isStopped);
         if (this->stopped)
             co_return;
-        this->scheduler.knowsAllWorkers();
+        this->scheduler.setAllWorkersKnown();
         this->planWake.notify();
     }
 
--- a/packages/coordination/include/sassafrasferry/coordination/vm_survey.h
+++ b/packages/coordination/include/sassafrasferry/coordination/vm_survey.h
@@ -17,7 +17,7 @@
 {
     for (const auto &vm : vms) {
         if (!vm.worker.empty())
-            scheduler.expectWorker(vm.worker, vm.pool);
+            scheduler.addUnlistedWorker(vm.worker, vm.pool);
         if (vm.state == scheduling::VmState::Down)
             continue;
         const bool isUp = vm.state == scheduling::VmState::Up;
--- a/packages/coordination/include/sassafrasferry/coordination/worker_session.h
+++ b/packages/coordination/include/sassafrasferry/coordination/worker_session.h
@@ -108,13 +108,13 @@
     {
         while (!this->stopped) {
             const auto *worker = this->scheduler.findWorker(this->id);
-            if (!worker || worker->over)
+            if (!worker || worker->hasEnded)
                 co_return;
             if (!this->events.canOrder()) {
                 co_await pause(retryPause);
                 continue;
             }
-            const bool isSurvey = !worker->surveyed;
+            const bool isSurvey = !worker->hasReported;
             const auto asked = bootNow();
             HoldRequest request;
             request.fence = this->fence;
--- a/packages/coordination/src/fleet_keeper_test.cpp
+++ b/packages/coordination/src/fleet_keeper_test.cpp
@@ -56,7 +56,7 @@
         configuration.queues.push_back(queue);
         configuration.services.push_back({"s", true, false});
         this->scheduler.setConfiguration(configuration);
-        this->scheduler.knowsAllWorkers();
+        this->scheduler.setAllWorkersKnown();
         this->list(100);
         this->report({}, {});
         jobs::StepSpec step;
--- a/packages/coordination/src/worker_session_test.cpp
+++ b/packages/coordination/src/worker_session_test.cpp
@@ -105,7 +105,7 @@
         listing.vm = "vm";
         listing.born = firstBorn;
         this->scheduler.listWorker(listing, bootNow());
-        this->scheduler.knowsAllWorkers();
+        this->scheduler.setAllWorkersKnown();
         SessionEvents events{[] {}, [](const std::string &) {},
                              [] {
                                  return true;
--- a/packages/scheduling/include/sassafrasferry/scheduling/scheduler.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/scheduler.h
@@ -22,7 +22,7 @@
 struct SchedulerTimes
 {
     Duration workerLease = std::chrono::milliseconds(4000); ///< granted with each hold and start
-    Duration longestLease = std::chrono::milliseconds(10000); ///< longest that a worker accepts
+    Duration maxLease = std::chrono::milliseconds(10000); ///< longest that a worker accepts
     double clockDrift = 0.02; ///< share by which a worker's clock may run slow
     Duration leaseMargin = std::chrono::milliseconds(150); ///< added to each lease bound
     /// A worker that has not answered for longer gets no starts, and its lease is not extended.
@@ -77,8 +77,9 @@
     double onTimeSeconds = 0; ///< part of `readySeconds` of jobs that can meet their objective
     double laterSeconds = 0; ///< core-seconds of tasks that depend on unfinished steps
     /// Fewest workers that satisfy the per-VM limits: what the widest lasting step needs.
-    std::size_t spread = 0;
-    bool starves = false; ///< a lasting task has waited too long; free room may be fragmented
+    std::size_t minWorkers = 0;
+    bool hasStarvedTask =
+        false; ///< a lasting task has waited too long; free room may be fragmented
     std::size_t jobs = 0; ///< unfinished jobs
 };
 
@@ -109,7 +110,7 @@
     /// Returns false if there is no unfinished job with this id.
     bool cancelJob(const std::string &id);
     JobState stateOf(const std::string &id) const;
-    std::size_t pendingOf(const std::string &queue) const;
+    std::size_t pendingJobCount(const std::string &queue) const;
     Job *findJob(const std::string &id);
     std::size_t jobCount() const;
     /// Takes up to `maxRows` rows of changed jobs that `isWanted` accepts, to be written to the
@@ -138,20 +139,20 @@
     void unlistWorker(const std::string &id);
     /// Registers a worker that has no entry in the list of workers but may still run tasks that an
     /// earlier leader started.
-    void expectWorker(const std::string &id, const std::string &service);
+    void addUnlistedWorker(const std::string &id, const std::string &service);
     /// Retires incarnations of a VM that have ended according to the platform's list of VMs.
     /// `listedBefore` names the workers that were listed before the platform was queried; any other
     /// worker may have started since.
     void endEarlierIncarnations(const VmIncarnation &present,
                                 const std::set<std::string> &listedBefore, Instant now);
     /// Records that every worker that may run tasks of an earlier leader is now known.
-    void knowsAllWorkers();
+    void setAllWorkersKnown();
     /// Applies a worker's answer to a hold that was sent at `askedAt`.
     void report(const WorkerReport &report, Instant askedAt, Instant now);
     /// Records that this incarnation of the worker has ended, and with it the runs reported there.
     void incarnationEnded(const std::string &id, EndEvidence evidence, Instant now);
     /// Retires a worker whose id no later incarnation will use.
-    void endWorker(const std::string &id, EndEvidence evidence, Instant now);
+    void retireWorker(const std::string &id, EndEvidence evidence, Instant now);
     /// Removes unlisted workers that have no runs and can't have a valid lease, once they have
     /// ended or have not answered for `workerRetention`.
     void forgetWorkers(Instant now);
@@ -180,7 +181,7 @@
     /// worker is empty.
     bool evacuate(const std::string &worker, bool force, Instant now);
     /// Ends an evacuation: the worker accepts tasks again.
-    void keepWorker(const std::string &worker);
+    void cancelEvacuation(const std::string &worker);
     /// Assigns no tasks to any incarnation of a VM while an order about the VM may be carried out:
     /// an incarnation that is listed meanwhile would lose its tasks to that order.
     void holdVm(const std::string &vm);
--- a/packages/scheduling/include/sassafrasferry/scheduling/worker.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/worker.h
@@ -109,12 +109,12 @@
 {
     WorkerListing listing;
     bool listed = true; ///< has an entry in the list of workers
-    bool over = false; ///< this incarnation has ended; no calls are sent to it any more
-    bool surveyed = false; ///< has reported to this leader in its current incarnation
+    bool hasEnded = false; ///< this incarnation has ended; no calls are sent to it any more
+    bool hasReported = false; ///< has reported to this leader in its current incarnation
     bool evacuating = false; ///< gets no new tasks: its VM will be moved or maintained
     bool cordoned = false; ///< gets no new tasks, so that its VM drains and can be moved
     /// A maintenance wave waits for its VM, so lasting tasks placed here would have to move again.
-    bool leavingSoon = false;
+    bool hasPendingMaintenance = false;
     Instant lastAnswer{}; ///< time of its last answer to a hold
     Instant backOffUntil{}; ///< gets no starts until then, after refusals or failures
     Instant fullUntil{}; ///< gets no starts until then, after a refusal for lack of room
--- a/packages/scheduling/src/acknowledge_test.cpp
+++ b/packages/scheduling/src/acknowledge_test.cpp
@@ -128,7 +128,7 @@
         Case{"a run that was stopped", {}, {{1, unknownTask, 1, jobs::RunEnd::Stopped, ""}}, true});
     INFO(row.name);
     Bench bench(2, 4000, true);
-    bench.scheduler.knowsAllWorkers();
+    bench.scheduler.setAllWorkersKnown();
     bench.report("w0", row.runs, row.ends);
     bench.report("w1");
     bench.plan();
@@ -147,7 +147,7 @@
 TEST_CASE("an end of an unknown job is acknowledged after a short wait for the job")
 {
     Bench bench(1, 4000, true);
-    bench.scheduler.knowsAllWorkers();
+    bench.scheduler.setAllWorkersKnown();
     const ListedEnd end{1, unknownTask, 1, jobs::RunEnd::Done, ""};
     bench.report("w0", {}, {end});
     const bool arrives = GENERATE(true, false);
@@ -170,7 +170,7 @@
 TEST_CASE("a run of a job that becomes known later reserves and releases its room once")
 {
     Bench bench(1, 1000, true);
-    bench.scheduler.knowsAllWorkers();
+    bench.scheduler.setAllWorkersKnown();
     bench.report("w0", {{unknownTask, 1, "", 100, 0}});
     bench.add(unknownTask.job, {stepOf(1)});
     CHECK(bench.scheduler.findWorker("w0")->room().cpu == 0);
--- a/packages/scheduling/src/fleet_planner.cpp
+++ b/packages/scheduling/src/fleet_planner.cpp
@@ -88,7 +88,7 @@
             continue;
         // The new incarnation has registered, so the move or the maintenance has finished.
         const auto worker = round.workers.find(entry.first);
-        if (worker != round.workers.end() && worker->second->surveyed
+        if (worker != round.workers.end() && worker->second->hasReported
             && !entry.second.hasOrderInProgress && entry.second.vm.state != VmState::Up
             && worker->second->listing.service == entry.second.vm.pool)
             entry.second.vm.state = VmState::Up;
@@ -106,7 +106,7 @@
         }
     }
     for (const auto &worker : round.workers)
-        worker.second->leavingSoon = round.awaitingMaintenance.count(worker.first) != 0;
+        worker.second->hasPendingMaintenance = round.awaitingMaintenance.count(worker.first) != 0;
     this->computeNeeds(round);
     this->repeatUnansweredOrders(round);
     for (auto &entry : this->waveTable)
@@ -323,9 +323,9 @@
         // A repeated order may have been executed on its first call. The current worker then
         // started afterwards, so only the incarnation from before the first call is ended.
         if (!entry.workerToEnd.empty())
-            scheduler.endWorker(entry.workerToEnd, EndEvidence::VmOrder, now);
+            scheduler.retireWorker(entry.workerToEnd, EndEvidence::VmOrder, now);
         if (!worker.empty())
-            scheduler.keepWorker(worker);
+            scheduler.cancelEvacuation(worker);
     } else {
         entry.noOrderBefore = now + this->options.retryDelay;
         // A refusal of a repeated call does not tell whether an earlier call was executed.
@@ -339,7 +339,7 @@
         entry.unansweredOrder.reset();
         scheduler.releaseVm(order.vm);
         if (isMove && !worker.empty())
-            scheduler.keepWorker(worker);
+            scheduler.cancelEvacuation(worker);
     }
     if (isMove) {
         if (answer == FleetAnswer::Impossible)
@@ -354,7 +354,7 @@
         ++at->second.changes;
         entry.evacuatingForWave = 0;
         if (answer != FleetAnswer::Accepted && !worker.empty())
-            scheduler.keepWorker(worker);
+            scheduler.cancelEvacuation(worker);
     }
 }
 
--- a/packages/scheduling/src/pool_sizing.cpp
+++ b/packages/scheduling/src/pool_sizing.cpp
@@ -59,9 +59,9 @@
     }
     // One VM more than the widest long-running step needs, so that its tasks can be moved off a VM.
     const auto minimumVms =
-        load.spread + (this->options.mechanisms.has(Mechanism::SpareVm) ? 1 : 0);
+        load.minWorkers + (this->options.mechanisms.has(Mechanism::SpareVm) ? 1 : 0);
     result.desired = std::max(result.desired, minimumVms);
-    if (load.starves)
+    if (load.hasStarvedTask)
         result.desired = std::max(result.desired, count + 1);
     result.onTime = std::clamp(result.onTime, minimumVms, result.desired);
     result.minimum = std::clamp(result.minimum, minimumVms, result.onTime);
--- a/packages/scheduling/src/scheduler.cpp
+++ b/packages/scheduling/src/scheduler.cpp
@@ -97,7 +97,7 @@
     return job.state;
 }
 
-std::size_t Scheduler::pendingOf(const std::string &queue) const
+std::size_t Scheduler::pendingJobCount(const std::string &queue) const
 {
     std::size_t count = 0;
     for (const auto &entry : this->jobs) {
--- a/packages/scheduling/src/scheduler_fleet.cpp
+++ b/packages/scheduling/src/scheduler_fleet.cpp
@@ -66,7 +66,7 @@
     return worker->isEmpty(now);
 }
 
-void Scheduler::keepWorker(const std::string &id)
+void Scheduler::cancelEvacuation(const std::string &id)
 {
     if (auto *worker = this->findWorker(id))
         worker->evacuating = false;
@@ -126,7 +126,8 @@
         return;
     const bool isOpen = job.isOpen(occurrence, step, unixNow);
     if (spec.lasting && spec.perVmLimit > 0)
-        load.spread = std::max(load.spread, (spec.count + spec.perVmLimit - 1) / spec.perVmLimit);
+        load.minWorkers =
+            std::max(load.minWorkers, (spec.count + spec.perVmLimit - 1) / spec.perVmLimit);
     const auto need = spec.footprint();
     const auto coreSeconds =
         static_cast<double>(need.cpu) / 1000 * policy::seconds(Duration(job.expected(step).task));
@@ -143,7 +144,8 @@
             load.laterSeconds += coreSeconds;
         } else {
             load.ready += need;
-            load.starves |= spec.lasting && now - task.idleSince > this->times.starvationTime;
+            load.hasStarvedTask |=
+                spec.lasting && now - task.idleSince > this->times.starvationTime;
             load.readySeconds += coreSeconds;
             load.onTimeSeconds += canMeetObjective ? coreSeconds : 0;
         }
--- a/packages/scheduling/src/scheduler_plan.cpp
+++ b/packages/scheduling/src/scheduler_plan.cpp
@@ -78,7 +78,7 @@
 
 bool Scheduler::takesWork(const Worker &worker, Instant now) const
 {
-    return worker.listed && worker.surveyed && !worker.listing.draining && !worker.evacuating
+    return worker.listed && worker.hasReported && !worker.listing.draining && !worker.evacuating
            && !worker.cordoned && this->heldVms.count(worker.listing.vm) == 0
            && worker.hasAnsweredWithin(now, this->times.answerTimeout) && now >= worker.backOffUntil
            && now >= worker.fullUntil;
@@ -286,7 +286,7 @@
         // all of them. Pack those of different jobs, since a VM with a lasting task can't be moved.
         if (spec.lasting)
             score = fit * (1 - cpuShare(room, listing.capacity))
-                    - maintenanceWeight * static_cast<double>(worker->leavingSoon)
+                    - maintenanceWeight * static_cast<double>(worker->hasPendingMaintenance)
                     - spreadVmWeight * static_cast<double>(runsHere)
                     - spread * static_cast<double>(onRack[listing.rack]);
         // A faulty worker that fails every run would use up all attempts of a task.
--- a/packages/scheduling/src/scheduler_reports.cpp
+++ b/packages/scheduling/src/scheduler_reports.cpp
@@ -91,7 +91,7 @@
         return;
     auto &worker = at->second;
     const bool isFormer = report.born != 0 && report.born < worker.listing.born;
-    if (worker.over || isFormer) {
+    if (worker.hasEnded || isFormer) {
         for (const auto &end : report.ended)
             this->applyFormerEnd(worker, end, now);
         return;
@@ -102,12 +102,12 @@
     }
     // A lease that an earlier leader granted before the worker learned of this one may last for a
     // full lease term.
-    if (!worker.surveyed)
+    if (!worker.hasReported)
         worker.latestLeaseEnd = std::max(worker.latestLeaseEnd, report.clock + this->leaseTerm());
     worker.clock = report.clock;
     worker.clockReceivedAt = now;
     worker.lastAnswer = now;
-    worker.surveyed = true;
+    worker.hasReported = true;
     for (const auto &end : report.ended)
         this->applyEnd(worker, end, now);
     for (const auto &listed : report.running)
--- a/packages/scheduling/src/scheduler_test.cpp
+++ b/packages/scheduling/src/scheduler_test.cpp
@@ -15,10 +15,10 @@
     const auto orders = bench.plan();
     REQUIRE(orders.starts.size() == 1);
     CHECK(bench.scheduler.stateOf("j") == JobState::Queued);
-    CHECK(bench.scheduler.pendingOf("q") == 1);
+    CHECK(bench.scheduler.pendingJobCount("q") == 1);
     bench.acceptAll(orders);
     CHECK(bench.scheduler.stateOf("j") == JobState::Running);
-    CHECK(bench.scheduler.pendingOf("q") == 0);
+    CHECK(bench.scheduler.pendingJobCount("q") == 0);
     bench.report("w0", {}, {endOf(orders.starts[0], 1, jobs::RunEnd::Done)});
     CHECK(bench.scheduler.stateOf("j") == JobState::Running);
     CHECK(bench.scheduler.acknowledged("w0") == 0);
--- a/packages/scheduling/src/scheduler_workers.cpp
+++ b/packages/scheduling/src/scheduler_workers.cpp
@@ -20,7 +20,7 @@
     if (known && known->listing.born > listing.born)
         return false;
     if (known) {
-        this->endWorker(present, EndEvidence::Entry, now);
+        this->retireWorker(present, EndEvidence::Entry, now);
     }
     present = listing.id;
     return true;
@@ -44,7 +44,7 @@
             this->allWorkersKnown ? now : this->tookOverAt + this->times.inheritedLease;
     const bool wasDraining = worker.listing.draining;
     worker.listing = listing;
-    worker.listed = !worker.over;
+    worker.listed = !worker.hasEnded;
     if (isNew || wasDraining != listing.draining) {
         this->note("worker", listing.id,
                    absl::StrCat("service=", listing.service, " draining=", listing.draining ? 1 : 0,
@@ -61,7 +61,7 @@
     this->note("worker-unlisted", id, absl::StrCat("runs=", at->second.runs.size()));
 }
 
-void Scheduler::expectWorker(const std::string &id, const std::string &service)
+void Scheduler::addUnlistedWorker(const std::string &id, const std::string &service)
 {
     if (this->workerTable.count(id) != 0)
         return;
@@ -86,14 +86,14 @@
     // can't reach.
     const bool hasAnother = present.isUp && !present.worker.empty();
     const bool hasLeft = worker && (hasAnother || worker->listing.service != present.pool);
-    if (!hasLeft || worker->over)
+    if (!hasLeft || worker->hasEnded)
         return;
     this->note("incarnation-over", at->second,
                absl::StrCat("vm=", present.vm, " now=", present.worker));
-    this->endWorker(at->second, EndEvidence::VmList, now);
+    this->retireWorker(at->second, EndEvidence::VmList, now);
 }
 
-void Scheduler::knowsAllWorkers()
+void Scheduler::setAllWorkersKnown()
 {
     this->allWorkersKnown = true;
 }
@@ -109,12 +109,12 @@
 void Scheduler::incarnationEnded(const std::string &id, EndEvidence evidence, Instant now)
 {
     const auto at = this->workerTable.find(id);
-    if (at == this->workerTable.end() || at->second.over)
+    if (at == this->workerTable.end() || at->second.hasEnded)
         return;
     auto &worker = at->second;
     // Another worker has the address, so no call can have reached a next incarnation of this one.
     const bool isAddressReused = evidence == EndEvidence::OtherIncarnation;
-    if (!isAddressReused || worker.surveyed || !worker.runs.empty())
+    if (!isAddressReused || worker.hasReported || !worker.runs.empty())
         this->noteEnded(worker, evidence);
     if (isAddressReused) {
         worker.inheritedUntil = now;
@@ -123,11 +123,11 @@
         // Calls sent earlier may have reached the next incarnation. Its clock has restarted, so a
         // lease end computed from the previous clock lies far ahead, and the worker limits it to
         // the longest lease that it accepts.
-        worker.formerLeaseUntil = now + this->maxLeaseDuration(this->times.longestLease);
+        worker.formerLeaseUntil = now + this->maxLeaseDuration(this->times.maxLease);
         worker.inheritedUntil = std::max(this->leaseExpiry(worker), worker.formerLeaseUntil);
         this->dropRunsOfIncarnation(worker, now);
     }
-    worker.surveyed = false;
+    worker.hasReported = false;
     worker.clock = 0;
     worker.latestLeaseEnd = 0;
     worker.endsSeen = 0;
@@ -135,10 +135,10 @@
     worker.pendingEnds.clear();
 }
 
-void Scheduler::endWorker(const std::string &id, EndEvidence evidence, Instant now)
+void Scheduler::retireWorker(const std::string &id, EndEvidence evidence, Instant now)
 {
     auto *worker = this->findWorker(id);
-    if (!worker || worker->over)
+    if (!worker || worker->hasEnded)
         return;
     const auto leaseEnd = this->leaseExpiry(*worker);
     this->incarnationEnded(id, evidence, now);
@@ -146,7 +146,7 @@
     // Calls carry the worker's id, so no other incarnation carries out a start still in flight.
     this->dropAllRuns(*worker, now);
     worker->listed = false;
-    worker->over = true;
+    worker->hasEnded = true;
 }
 
 void Scheduler::forgetWorkers(Instant now)
@@ -156,7 +156,7 @@
         const bool isUnresponsive = now - worker.lastAnswer > this->times.workerRetention
                                     && now - this->tookOverAt > this->times.workerRetention;
         return !worker.listed && worker.runs.empty() && now > worker.inheritedUntil
-               && (worker.over || isUnresponsive);
+               && (worker.hasEnded || isUnresponsive);
     });
 }
 
@@ -189,7 +189,7 @@
 
 Instant Scheduler::leaseExpiry(const Worker &worker) const
 {
-    if (!worker.surveyed || worker.clock == 0)
+    if (!worker.hasReported || worker.clock == 0)
         return worker.inheritedUntil;
     const auto lease = std::max<Duration>(
         std::chrono::milliseconds(worker.latestLeaseEnd - worker.clock), Duration::zero());
--- a/packages/scheduling/src/scheduling_measure.cpp
+++ b/packages/scheduling/src/scheduling_measure.cpp
@@ -94,7 +94,7 @@
         vms.push_back({listing.vm, listing.service, VmState::Up, "a", listing.rack,
                        listing.capacity, listing.id});
     }
-    scheduler.knowsAllWorkers();
+    scheduler.setAllWorkersKnown();
     fleet.listVms(vms, now);
     Totals totals;
     const auto end = now + policy::fromSeconds(seconds);
--- a/packages/scheduling/src/takeover_test.cpp
+++ b/packages/scheduling/src/takeover_test.cpp
@@ -29,7 +29,7 @@
     for (const auto &row : cases) {
         INFO(row.name);
         Bench bench(2, 4000, true);
-        bench.scheduler.knowsAllWorkers();
+        bench.scheduler.setAllWorkersKnown();
         bench.add("j", {stepOf(1)}, true);
         bench.now += row.later;
         bench.report("w0");
@@ -55,8 +55,8 @@
     bench.report("w0");
     bench.add("j", {stepOf(1)}, true);
     CHECK(bench.plan().starts.empty()); // the list of VMs has not been read yet
-    bench.scheduler.expectWorker("ghost", "s");
-    bench.scheduler.knowsAllWorkers();
+    bench.scheduler.addUnlistedWorker("ghost", "s");
+    bench.scheduler.setAllWorkersKnown();
     CHECK(bench.plan().starts.empty());
     bench.now += SchedulerTimes{}.inheritedLease + 100ms;
     bench.report("w0");
@@ -66,7 +66,7 @@
 TEST_CASE("a reported run of a known job is adopted, one of an unknown job is stopped")
 {
     Bench bench(1, 4000, true);
-    bench.scheduler.knowsAllWorkers();
+    bench.scheduler.setAllWorkersKnown();
     bench.add("j", {stepOf(1)}, true);
     bench.report("w0", {{{"j", 0, 0, 0}, 7, "", 10, 0}, {{"gone", 0, 0, 0}, 3, "", 10, 0}});
     const auto orders = bench.plan();
@@ -200,7 +200,7 @@
     bench.record();
     CHECK(bench.scheduler.findJob("j")->find(first.task)->failedRuns.size() == 1);
     CHECK(bench.scheduler.acknowledged(first.worker) == 0);
-    CHECK_FALSE(bench.scheduler.findWorker(first.worker)->surveyed);
+    CHECK_FALSE(bench.scheduler.findWorker(first.worker)->hasReported);
 }
 
 // A leader that moves VMs sees hundreds of incarnations a minute, and would otherwise call each of
@@ -212,7 +212,7 @@
     bench.add("j", {stepOf(1)});
     const auto first = bench.plan().starts.at(0);
     bench.scheduler.leaseUntil(first.worker, bench.now);
-    bench.scheduler.endWorker(first.worker, EndEvidence::VmOrder, bench.now);
+    bench.scheduler.retireWorker(first.worker, EndEvidence::VmOrder, bench.now);
     CHECK_FALSE(bench.scheduler.findWorker(first.worker)->listed);
     bench.scheduler.forgetWorkers(bench.now);
     CHECK(bench.scheduler.findWorker(first.worker) != nullptr); // a start is in flight
@@ -259,7 +259,7 @@
         bench.report("w0");
         const std::set<std::string> listed{"w0", row.isListedBefore ? "w1" : "w0"};
         bench.scheduler.endEarlierIncarnations(row.incarnation, listed, bench.now);
-        bench.scheduler.knowsAllWorkers();
+        bench.scheduler.setAllWorkersKnown();
         CHECK(bench.plan().starts.size() == row.starts);
     }
 }
@@ -274,7 +274,7 @@
     bench.now += 2s;
     const auto load = bench.scheduler.loads(bench.now, 0)["s"];
     CHECK(load.ready.cpu == 0);
-    CHECK_FALSE(load.starves);
+    CHECK_FALSE(load.hasStarvedTask);
     CHECK(load.lasting.cpu == 2000);
     CHECK(load.running.cpu == 3000);
 }
--- a/packages/scheduling/src/vm_answer_test.cpp
+++ b/packages/scheduling/src/vm_answer_test.cpp
@@ -19,7 +19,7 @@
     next.born = ++fixture.incarnationCount;
     next.service = pool;
     fixture.scheduler.listWorker(next, fixture.now);
-    if (!fixture.scheduler.findWorker(id)->over)
+    if (!fixture.scheduler.findWorker(id)->hasEnded)
         fixture.report(id);
 }
 
@@ -133,7 +133,7 @@
     CHECK(startsOn(fixture, id) == (row.atOnce ? 1 : 0));
     // Its entry remains in the list of workers.
     const auto listing = fixture.scheduler.findWorker(id)->listing;
-    const auto maxWait = SchedulerTimes{}.longestLease + 2s;
+    const auto maxWait = SchedulerTimes{}.maxLease + 2s;
     for (const auto end = fixture.now + maxWait; fixture.now < end && !row.atOnce;) {
         fixture.now += 100ms;
         fixture.scheduler.forgetWorkers(fixture.now);
--- a/packages/scheduling/src/vm_order_test.cpp
+++ b/packages/scheduling/src/vm_order_test.cpp
@@ -123,7 +123,7 @@
     for (const auto &id : workersOfPool(fixture)) {
         earlier.push_back(fixture.scheduler.findWorker(id)->listing);
         const auto present = incarnationOf(fixture, id, idPrefix, ++fixture.incarnationCount);
-        fixture.scheduler.endWorker(id, EndEvidence::VmOrder, fixture.now);
+        fixture.scheduler.retireWorker(id, EndEvidence::VmOrder, fixture.now);
         fixture.scheduler.listWorker(present, fixture.now);
         fixture.report(present.id);
     }
@@ -278,7 +278,7 @@
 void holdEndedWorker(FleetFixture &fixture)
 {
     holdRunsOutsideStandby(fixture);
-    fixture.scheduler.endWorker(workerOutsideStandby, EndEvidence::VmOrder, fixture.now);
+    fixture.scheduler.retireWorker(workerOutsideStandby, EndEvidence::VmOrder, fixture.now);
 }
 
 } // namespace
@@ -349,7 +349,7 @@
         FleetFixture fixture(vmCount, 1, 1);
         row.hold(fixture);
         fixture.scheduler.takeNotes();
-        fixture.scheduler.endWorker("w-one0", row.evidence, fixture.now);
+        fixture.scheduler.retireWorker("w-one0", row.evidence, fixture.now);
         const auto notes = fixture.scheduler.takeNotes();
         REQUIRE(notes.size() == 1);
         CHECK(notes[0].event == "worker-ended");
--- a/packages/scheduling/src/worker.cpp
+++ b/packages/scheduling/src/worker.cpp
@@ -12,7 +12,7 @@
 
 bool Worker::canHaveUnreportedRuns(Instant now) const
 {
-    return !this->surveyed && !this->over && now <= this->inheritedUntil;
+    return !this->hasReported && !this->hasEnded && now <= this->inheritedUntil;
 }
 
 bool Worker::isEmpty(Instant now) const
--- a/packages/scheduling/tests/fault_sequence_simulation.h
+++ b/packages/scheduling/tests/fault_sequence_simulation.h
@@ -239,7 +239,7 @@
             const bool isUsable = vm.state == VmState::Up && incarnation.alive
                                   && this->now - incarnation.startedAt > rejoinTime
                                   && this->now - incarnation.partitionedUntil > rejoinTime;
-            if (isUsable && this->leaders.back()->alive && (!worker || !worker->surveyed))
+            if (isUsable && this->leaders.back()->alive && (!worker || !worker->hasReported))
                 this->addViolation(vm.name + " is not used any more");
         }
     }
@@ -268,8 +268,8 @@
         this->leaders.push_back(leader);
         this->listEntries(*leader);
         for (const auto &vm : this->fleet.vms)
-            leader->scheduler.expectWorker(vm.worker, vm.pool);
-        leader->scheduler.knowsAllWorkers();
+            leader->scheduler.addUnlistedWorker(vm.worker, vm.pool);
+        leader->scheduler.setAllWorkersKnown();
         leader->planner.addWave({1, {"vm0", "vm1", "vm2"}, 10s, 1}, this->fleet.maintained,
                                 this->now);
     }
@@ -298,7 +298,7 @@
         }
         std::vector<std::string> ids;
         for (const auto &entry : leader->scheduler.workers()) {
-            if (!entry.second.over)
+            if (!entry.second.hasEnded)
                 ids.push_back(entry.first);
         }
         for (const auto &id : ids)
@@ -324,7 +324,7 @@
             next = this->now + retryDelay;
             return;
         }
-        const bool isSurvey = !leader->scheduler.findWorker(id)->surveyed;
+        const bool isSurvey = !leader->scheduler.findWorker(id)->hasReported;
         const auto asked = this->now;
         const auto acknowledged = leader->scheduler.acknowledged(id);
         const auto first =
--- a/packages/scheduling/tests/fleet_fixture.h
+++ b/packages/scheduling/tests/fleet_fixture.h
@@ -28,7 +28,7 @@
         }
         configuration.services.push_back({"off", true, true});
         this->scheduler.setConfiguration(configuration);
-        this->scheduler.knowsAllWorkers();
+        this->scheduler.setAllWorkersKnown();
         this->addPool("one", first);
         this->addPool("two", second);
         this->addPool("off", standby);
--- a/packages/scheduling/tests/job_simulation.h
+++ b/packages/scheduling/tests/job_simulation.h
@@ -204,7 +204,7 @@
         for (const auto &entry : this->submittedJobs)
             this->addJobTo(*leader, entry.first);
         this->listWorkers(*leader);
-        leader->scheduler.knowsAllWorkers();
+        leader->scheduler.setAllWorkersKnown();
     }
 
     static jobs::QueueTerms terms()
--- a/packages/scheduling/tests/scheduler_bench.h
+++ b/packages/scheduling/tests/scheduler_bench.h
@@ -41,7 +41,7 @@
         for (std::size_t i = 0; i < workerCount; ++i)
             this->list("w" + std::to_string(i), 1, cpu, "r" + std::to_string(i / 2));
         if (!hasPredecessor)
-            this->scheduler.knowsAllWorkers();
+            this->scheduler.setAllWorkersKnown();
     }
 
     void list(const std::string &id, std::int64_t born, std::int64_t cpu, const std::string &rack)
--- a/packages/scheduling/tests/vm_move_calls.h
+++ b/packages/scheduling/tests/vm_move_calls.h
@@ -52,7 +52,7 @@
         return;
     }
     next = Instant::max();
-    const bool isSurvey = !leader->scheduler.findWorker(id)->surveyed;
+    const bool isSurvey = !leader->scheduler.findWorker(id)->hasReported;
     this->awaitEnd(leader, *report, this->now,
                    this->now + (isSurvey ? Duration::zero() : holdWait));
 }
--- a/packages/scheduling/tests/vm_move_leader.h
+++ b/packages/scheduling/tests/vm_move_leader.h
@@ -39,12 +39,12 @@
         listedBefore.insert(entry.first);
     for (const auto &vm : this->listedVms()) {
         if (!vm.worker.empty())
-            leader->scheduler.expectWorker(vm.worker, vm.pool);
+            leader->scheduler.addUnlistedWorker(vm.worker, vm.pool);
         if (vm.state != VmState::Down)
             leader->scheduler.endEarlierIncarnations(
                 {vm.name, vm.pool, vm.worker, vm.state == VmState::Up}, listedBefore, this->now);
     }
-    leader->scheduler.knowsAllWorkers();
+    leader->scheduler.setAllWorkersKnown();
     leader->planner.addWave({1, {"vm0", "vm2", "vm3"}, 10s, 1}, this->fleet.maintained, this->now);
 }
 
@@ -79,7 +79,7 @@
     this->writeRows(leader);
     std::vector<std::string> ids;
     for (const auto &entry : leader->scheduler.workers()) {
-        if (!entry.second.over)
+        if (!entry.second.hasEnded)
             ids.push_back(entry.first);
     }
     for (const auto &id : ids)
