--- a/packages/coordination/include/sassafrasferry/coordination/fleet_keeper.h
+++ b/packages/coordination/include/sassafrasferry/coordination/fleet_keeper.h
@@ -80,7 +80,7 @@
     void begin()
     {
         for (const auto &vm : this->options.deferredVms)
-            this->planner.defer(vm, this->options.deferredUntil);
+            this->planner.deferOrders(vm, this->options.deferredUntil);
         spawn(this->executor, "fleet", [self = this->shared_from_this()] {
             return restarted("fleet", [self] { return self->run(); });
         });
@@ -97,9 +97,9 @@
     }
 
 private:
-    static scheduling::FleetTerms termsFor(const scheduling::Scheduler &scheduler)
+    static scheduling::FleetPlannerOptions termsFor(const scheduling::Scheduler &scheduler)
     {
-        scheduling::FleetTerms terms;
+        scheduling::FleetPlannerOptions terms;
         terms.sizing.mechanisms = scheduler.mechanisms();
         return terms;
     }
@@ -154,7 +154,7 @@
     Awaitable<void> list()
     {
         const auto asked = bootNow();
-        const auto wanted = this->planner.isBusy() ? busyListPause : listPause;
+        const auto wanted = this->planner.hasPendingChanges() ? busyListPause : listPause;
         if (this->hasListed && asked - this->listedAt < wanted)
             co_return;
         const auto vms = co_await this->cloud.list();
@@ -165,7 +165,7 @@
         }
         this->listedAt = asked;
         this->hasListed = true;
-        this->planner.listVms(*vms, asked);
+        this->planner.updateVms(*vms, asked);
     }
 
     Awaitable<void> announceAndGive(std::vector<scheduling::FleetOrder> orders)
@@ -180,11 +180,11 @@
             co_return;
         for (auto &order : orders) {
             if (isAnnounced && this->options.canOrder()
-                && this->planner.mayGive(order, this->scheduler, bootNow()))
+                && this->planner.canSend(order, this->scheduler, bootNow()))
                 this->give(std::move(order));
             else
-                this->planner.answered(order, scheduling::FleetAnswer::Refused, this->scheduler,
-                                       bootNow());
+                this->planner.handleAnswer(order, scheduling::FleetAnswer::Refused, this->scheduler,
+                                           bootNow());
         }
     }
 
@@ -203,7 +203,7 @@
         this->orderedAt[order.vm] = bootNow();
         if (this->stopped)
             co_return;
-        this->planner.answered(order, answer, this->scheduler, bootNow());
+        this->planner.handleAnswer(order, answer, this->scheduler, bootNow());
         this->logNotes();
         this->options.onChange();
     }
--- a/packages/jobs/include/sassafrasferry/jobs/job.h
+++ b/packages/jobs/include/sassafrasferry/jobs/job.h
@@ -48,17 +48,20 @@
     Done,
     Failed, ///< through a fault of the task or of the worker
     Stopped,
-    Lapsed, ///< the worker's lease expired
-    Broken, ///< another member of the gang ended
-    Alone, ///< the other members of the gang did not start
+    LeaseExpired, ///< the worker's lease expired
+    GangBroken, ///< another member of the gang ended
+    GangIncomplete, ///< the other members of the gang did not start
 };
 
 constexpr auto enumNames(RunEnd)
 {
     return std::array{
-        model::EnumName{RunEnd::Done, "done"},       model::EnumName{RunEnd::Failed, "failed"},
-        model::EnumName{RunEnd::Stopped, "stopped"}, model::EnumName{RunEnd::Lapsed, "lapsed"},
-        model::EnumName{RunEnd::Broken, "broken"},   model::EnumName{RunEnd::Alone, "alone"},
+        model::EnumName{RunEnd::Done, "done"},
+        model::EnumName{RunEnd::Failed, "failed"},
+        model::EnumName{RunEnd::Stopped, "stopped"},
+        model::EnumName{RunEnd::LeaseExpired, "lapsed"},
+        model::EnumName{RunEnd::GangBroken, "broken"},
+        model::EnumName{RunEnd::GangIncomplete, "alone"},
     };
 }
 
@@ -156,26 +159,26 @@
     Task *find(const TaskId &id);
     Task &at(std::size_t occurrence, std::size_t step, std::size_t index);
     /// True if the occurrence is due and all steps that the step depends on are done.
-    bool isOpen(std::size_t occurrence, std::size_t step, UnixMilliseconds now) const;
+    bool isRunnable(std::size_t occurrence, std::size_t step, UnixMilliseconds now) const;
     /// Number of tasks of the step that are not done.
     std::size_t tasksLeft(std::size_t occurrence, std::size_t step) const;
 
     /// Records the end of a run. The caller removes the run from the task's runs.
-    EndEffect noteEnd(const TaskId &id, std::int64_t run, RunEnd end,
-                      const std::string &checkpoint);
+    EndEffect recordEnd(const TaskId &id, std::int64_t run, RunEnd end,
+                        const std::string &checkpoint);
     /// Records the run time of a task and returns the longest run time in its step so far.
-    Milliseconds noteTook(const TaskId &id, Milliseconds took);
+    Milliseconds recordTaskTime(const TaskId &id, Milliseconds took);
     /// Starts no more tasks. The caller stops the remaining runs.
     void cancel();
     bool hasRuns() const;
 
     /// Replaces the estimates of the steps by times learned for the queue.
-    void expect(std::vector<StepTimes> times);
+    void setStepTimes(std::vector<StepTimes> times);
     const StepTimes &expected(std::size_t step) const;
     /// Latest completion time at which the job counts as on time.
     Instant objective() const;
     /// Expected time of the critical path through the steps that are not done.
-    Milliseconds chainLeft() const;
+    Milliseconds remainingPath() const;
 
     const std::string id;
     const JobSpec spec;
--- a/packages/jobs/src/job.cpp
+++ b/packages/jobs/src/job.cpp
@@ -47,7 +47,7 @@
     return &this->at(id.occurrence, id.step, id.index);
 }
 
-bool Job::isOpen(std::size_t occurrence, std::size_t step, UnixMilliseconds now) const
+bool Job::isRunnable(std::size_t occurrence, std::size_t step, UnixMilliseconds now) const
 {
     if (this->spec.repetitions > 0
         && now < this->spec.firstDue
@@ -89,7 +89,7 @@
     });
 }
 
-void Job::expect(std::vector<StepTimes> times)
+void Job::setStepTimes(std::vector<StepTimes> times)
 {
     this->stepTimes = std::move(times);
     this->updatePathTimes();
@@ -100,8 +100,8 @@
     return this->stepTimes[step];
 }
 
-EndEffect Job::noteEnd(const TaskId &id, std::int64_t run, RunEnd end,
-                       const std::string &checkpoint)
+EndEffect Job::recordEnd(const TaskId &id, std::int64_t run, RunEnd end,
+                         const std::string &checkpoint)
 {
     auto *task = this->find(id);
     if (!task || task->done)
@@ -143,7 +143,7 @@
     return effect;
 }
 
-Milliseconds Job::noteTook(const TaskId &id, Milliseconds took)
+Milliseconds Job::recordTaskTime(const TaskId &id, Milliseconds took)
 {
     auto &longest = this->longestTaskTimes[id.occurrence * this->spec.steps.size() + id.step];
     longest = std::max(longest, took);
@@ -164,7 +164,7 @@
                        [](const Task &task) { return !task.runs.empty(); });
 }
 
-Milliseconds Job::chainLeft() const
+Milliseconds Job::remainingPath() const
 {
     return this->remainingPathTime;
 }
--- a/packages/scheduling/include/sassafrasferry/scheduling/fleet_planner.h
+++ b/packages/scheduling/include/sassafrasferry/scheduling/fleet_planner.h
@@ -86,7 +86,7 @@
 }
 
 /// Time limits and weights of the planner.
-struct FleetTerms
+struct FleetPlannerOptions
 {
     PoolSizingOptions sizing;
     /// Per planning round, since the platform limits calls per second.
@@ -105,23 +105,24 @@
 class FleetPlanner
 {
 public:
-    explicit FleetPlanner(FleetTerms options);
+    explicit FleetPlanner(FleetPlannerOptions options);
 
     /// Applies the platform's list of VMs, which was requested at `askedAt`.
-    void listVms(const std::vector<Vm> &vms, Instant askedAt);
+    void updateVms(const std::vector<Vm> &vms, Instant askedAt);
     void addWave(const Wave &wave, std::set<std::string> done, Instant now);
     /// Issues no order about the VM before `until`.
-    void defer(const std::string &vm, Instant until);
+    void deferOrders(const std::string &vm, Instant until);
     std::vector<FleetOrder> plan(Scheduler &scheduler, Instant now, UnixMilliseconds unixNow);
     /// True if the order can be sent now: the VM still holds nothing that would be lost with it, or
     /// an earlier call of the order is unanswered, so that the platform may execute it in any case.
-    bool mayGive(const FleetOrder &order, const Scheduler &scheduler, Instant now) const;
-    void answered(const FleetOrder &order, FleetAnswer answer, Scheduler &scheduler, Instant now);
+    bool canSend(const FleetOrder &order, const Scheduler &scheduler, Instant now) const;
+    void handleAnswer(const FleetOrder &order, FleetAnswer answer, Scheduler &scheduler,
+                      Instant now);
 
     const std::map<std::int64_t, WaveProgress> &waves() const;
     /// True while a VM is not up or an order is in progress, so that the platform's list will
     /// change.
-    bool isBusy() const;
+    bool hasPendingChanges() const;
     std::vector<DecisionNote> takeNotes();
 
 private:
@@ -168,7 +169,7 @@
     void issueOrder(Entry &entry, FleetOrder order, Round &round);
     Entry *findSpareVm(const std::string &pool, std::size_t PoolNeed::*minimum, Round &round);
 
-    FleetTerms options;
+    FleetPlannerOptions options;
     std::map<std::string, Entry> vms;
     std::map<std::int64_t, WaveProgress> waveTable;
     PoolSizing sizing;
--- a/packages/scheduling/src/fleet_planner.cpp
+++ b/packages/scheduling/src/fleet_planner.cpp
@@ -9,12 +9,12 @@
 
 namespace sassafrasferry::scheduling {
 
-FleetPlanner::FleetPlanner(FleetTerms options)
+FleetPlanner::FleetPlanner(FleetPlannerOptions options)
     : options(options)
     , sizing(options.sizing)
 {}
 
-void FleetPlanner::listVms(const std::vector<Vm> &list, Instant askedAt)
+void FleetPlanner::updateVms(const std::vector<Vm> &list, Instant askedAt)
 {
     for (auto &entry : this->vms)
         entry.second.listed = false;
@@ -26,7 +26,7 @@
     }
 }
 
-void FleetPlanner::defer(const std::string &vm, Instant until)
+void FleetPlanner::deferOrders(const std::string &vm, Instant until)
 {
     auto &entry = this->vms[vm];
     entry.vm.name = vm;
@@ -39,7 +39,7 @@
     return std::exchange(this->notes, {});
 }
 
-bool FleetPlanner::isBusy() const
+bool FleetPlanner::hasPendingChanges() const
 {
     return std::any_of(this->vms.begin(), this->vms.end(), [](const auto &entry) {
         return entry.second.vm.state != VmState::Up || entry.second.hasOrderInProgress;
@@ -293,15 +293,15 @@
 
 // An unanswered order may be executed in any case, so it has to be sent again even if the VM is not
 // empty any more.
-bool FleetPlanner::mayGive(const FleetOrder &order, const Scheduler &scheduler, Instant now) const
+bool FleetPlanner::canSend(const FleetOrder &order, const Scheduler &scheduler, Instant now) const
 {
     const auto entry = this->vms.find(order.vm);
     const bool mayStillBeExecuted = entry != this->vms.end() && entry->second.unansweredOrder;
     return mayStillBeExecuted || scheduler.isVmEmpty(order.vm, now);
 }
 
-void FleetPlanner::answered(const FleetOrder &order, FleetAnswer answer, Scheduler &scheduler,
-                            Instant now)
+void FleetPlanner::handleAnswer(const FleetOrder &order, FleetAnswer answer, Scheduler &scheduler,
+                                Instant now)
 {
     auto &entry = this->vms[order.vm];
     entry.hasOrderInProgress = false;
--- a/packages/scheduling/src/fleet_planner_test.cpp
+++ b/packages/scheduling/src/fleet_planner_test.cpp
@@ -75,7 +75,8 @@
         fixture.reportAll();
         for (const auto &order : fixture.plan()) {
             moved += order.pool == "off" ? 1 : 0;
-            fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+            fixture.planner.handleAnswer(order, FleetAnswer::Accepted, fixture.scheduler,
+                                         fixture.now);
         }
     }
     CHECK(moved == 8 - 4);
@@ -100,7 +101,7 @@
     for (const auto &order : orders) {
         if (order.action == FleetAction::Maintain)
             CHECK(order.vm.rfind("off", 0) == 0);
-        fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+        fixture.planner.handleAnswer(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
     }
     fixture.now += 100ms;
     fixture.reportAll();
@@ -115,7 +116,7 @@
     for (const auto &order : fixture.plan()) {
         if (order.action == FleetAction::Maintain)
             CHECK(order.vm == "off1");
-        fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+        fixture.planner.handleAnswer(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
     }
     fixture.now += 100ms;
     fixture.reportAll();
@@ -136,7 +137,7 @@
             order = given;
     }
     REQUIRE(order.action == FleetAction::Maintain);
-    fixture.planner.answered(order, FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+    fixture.planner.handleAnswer(order, FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
     fixture.addRunningJob("one", 1, 1000);
     CHECK(fixture.scheduler.findWorker("w-one0")->runs.empty());
     fixture.now += 1s;
@@ -145,7 +146,7 @@
     for (const auto &given : fixture.plan())
         again += given.vm == "one0" && given.action == FleetAction::Maintain ? 1 : 0;
     CHECK(again == 1);
-    fixture.planner.answered(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+    fixture.planner.handleAnswer(order, FleetAnswer::Accepted, fixture.scheduler, fixture.now);
     CHECK(fixture.planner.waves().at(1).done.count("one0") == 1);
 }
 
@@ -167,7 +168,7 @@
         fixture.planner.addWave({7, {"off0"}, 20s, 1}, {}, fixture.now);
         for (const auto &order : fixture.plan()) {
             if (order.action == FleetAction::Maintain)
-                fixture.planner.answered(order, row.answer, fixture.scheduler, fixture.now);
+                fixture.planner.handleAnswer(order, row.answer, fixture.scheduler, fixture.now);
         }
         CHECK((fixture.planner.waves().at(7).done.count("off0") == 1) == row.isDone);
     }
@@ -194,8 +195,8 @@
 TEST_CASE("no order is issued about a VM for which the previous leader recently issued one")
 {
     FleetFixture fixture(2, 2, 2);
-    fixture.planner.defer("off0", fixture.now + 3s);
-    fixture.planner.listVms(fixture.vms, fixture.now);
+    fixture.planner.deferOrders("off0", fixture.now + 3s);
+    fixture.planner.updateVms(fixture.vms, fixture.now);
     fixture.planner.addWave({1, {"off0", "off1"}, 20s, 2}, {}, fixture.now);
     for (const auto &order : fixture.plan())
         CHECK(order.vm != "off0");
@@ -216,7 +217,8 @@
     fixture.planner.addWave({1, {"off0", "off1", "off2"}, 30s, 1}, {}, fixture.now);
     const auto first = fixture.plan();
     REQUIRE(fixture.count(first, FleetAction::Maintain) == 1);
-    fixture.planner.answered(first.front(), FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+    fixture.planner.handleAnswer(first.front(), FleetAnswer::NoAnswer, fixture.scheduler,
+                                 fixture.now);
     fixture.now += 100ms;
     CHECK(fixture.count(fixture.plan(), FleetAction::Maintain) == 0);
     fixture.now += 1s;
@@ -237,7 +239,7 @@
     const auto &order = orders.front();
     for (const auto answer : {FleetAnswer::NoAnswer, FleetAnswer::Refused}) {
         for (const auto &given : orders)
-            fixture.planner.answered(given, answer, fixture.scheduler, fixture.now);
+            fixture.planner.handleAnswer(given, answer, fixture.scheduler, fixture.now);
         fixture.now += 100ms;
         fixture.reportAll();
         fixture.addRunningJob("one", 64, 1000);
--- a/packages/scheduling/src/orphan_runs.cpp
+++ b/packages/scheduling/src/orphan_runs.cpp
@@ -72,7 +72,7 @@
     if (orphan == this->orphans.end())
         return;
     for (const auto &end : orphan->second) {
-        if (job.noteEnd(end.task, end.run, end.end, "") != jobs::EndEffect::None)
+        if (job.recordEnd(end.task, end.run, end.end, "") != jobs::EndEffect::None)
             this->markDirty(job);
     }
     this->orphans.erase(orphan);
--- a/packages/scheduling/src/scheduler.cpp
+++ b/packages/scheduling/src/scheduler.cpp
@@ -66,7 +66,7 @@
     for (const auto &step : job.spec.steps)
         times.push_back({learnsSizes ? models->second.task.mean(step.estimate) : step.estimate,
                          learnsTimes ? models->second.step.median(step.estimate) : step.estimate});
-    job.expect(std::move(times));
+    job.setStepTimes(std::move(times));
 }
 
 bool Scheduler::cancelJob(const std::string &id)
--- a/packages/scheduling/src/scheduler_fleet.cpp
+++ b/packages/scheduling/src/scheduler_fleet.cpp
@@ -109,7 +109,7 @@
             continue;
         auto &load = loads[this->serviceOf(job)];
         ++load.jobs;
-        const bool canMeetObjective = now + job.chainLeft() <= job.objective();
+        const bool canMeetObjective = now + job.remainingPath() <= job.objective();
         for (std::size_t occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
             for (std::size_t step = 0; step < job.spec.steps.size(); ++step)
                 this->addLoad(load, job, occurrence, step, canMeetObjective, now, unixNow);
@@ -124,7 +124,7 @@
     const auto &spec = job.spec.steps[step];
     if (job.tasksLeft(occurrence, step) == 0)
         return;
-    const bool isOpen = job.isOpen(occurrence, step, unixNow);
+    const bool isOpen = job.isRunnable(occurrence, step, unixNow);
     if (spec.lasting && spec.perVmLimit > 0)
         load.minWorkers =
             std::max(load.minWorkers, (spec.count + spec.perVmLimit - 1) / spec.perVmLimit);
--- a/packages/scheduling/src/scheduler_plan.cpp
+++ b/packages/scheduling/src/scheduler_plan.cpp
@@ -35,7 +35,7 @@
     if (job.spec.isLasting())
         return {false, job.terms.priority, job.acceptedAt};
     const auto objective = job.objective();
-    return {isLateLast && now + job.chainLeft() > objective, job.terms.priority, objective};
+    return {isLateLast && now + job.remainingPath() > objective, job.terms.priority, objective};
 }
 
 std::size_t runsOfStep(const Worker &worker, const TaskId &step)
@@ -165,7 +165,7 @@
         for (std::size_t occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
             for (std::size_t step = 0; step < job.spec.steps.size(); ++step) {
                 if (job.tasksLeft(occurrence, step) == 0
-                    || !job.isOpen(occurrence, step, round.unixNow))
+                    || !job.isRunnable(occurrence, step, round.unixNow))
                     continue;
                 if (job.spec.steps[step].gang)
                     this->planGang(job, occurrence, step, round);
--- a/packages/scheduling/src/scheduler_reports.cpp
+++ b/packages/scheduling/src/scheduler_reports.cpp
@@ -146,7 +146,7 @@
     const auto took = std::chrono::duration_cast<jobs::Milliseconds>(now - run->settledAt);
     auto &models = this->runTimes[job.terms.queue];
     models.task.observe(step.estimate, took);
-    const auto longest = job.noteTook(end.task, took);
+    const auto longest = job.recordTaskTime(end.task, took);
     if (job.tasksLeft(end.task.occurrence, end.task.step) == 1)
         models.step.observe(step.estimate, longest);
 }
@@ -169,7 +169,7 @@
     }
     this->noteHealth(worker, end, now);
     this->noteRunTime(*job, end, worker, now);
-    const auto effect = job->noteEnd(end.task, end.run, end.end, end.checkpoint);
+    const auto effect = job->recordEnd(end.task, end.run, end.end, end.checkpoint);
     const auto changes = job->changes;
     switch (end.end) {
     case jobs::RunEnd::Done:
@@ -178,7 +178,7 @@
     case jobs::RunEnd::Failed:
         ++this->counters.failed;
         break;
-    case jobs::RunEnd::Lapsed:
+    case jobs::RunEnd::LeaseExpired:
         ++this->counters.lapsed;
         break;
     default:
@@ -216,7 +216,7 @@
     auto *job = this->findJob(end.task.job);
     if (!job || (end.end != jobs::RunEnd::Done && end.end != jobs::RunEnd::Failed))
         return;
-    const auto effect = job->noteEnd(end.task, end.run, end.end, "");
+    const auto effect = job->recordEnd(end.task, end.run, end.end, "");
     if (effect == jobs::EndEffect::None)
         return;
     this->note("former-end", jobs::toString(end.task),
--- a/packages/scheduling/src/scheduler_test.cpp
+++ b/packages/scheduling/src/scheduler_test.cpp
@@ -130,16 +130,16 @@
         Job job("j", {"", {stepOf(1)}, 0, 0, 0ms}, {"q", "s", 0, 3, 1, 0ms}, start);
         std::set<std::int64_t> distinct;
         for (const auto run : runs) {
-            job.noteEnd({"j", 0, 0, 0}, run, jobs::RunEnd::Failed, "");
+            job.recordEnd({"j", 0, 0, 0}, run, jobs::RunEnd::Failed, "");
             distinct.insert(run);
         }
         Job next("j", job.spec, job.terms, start);
         next.restore(job.progress());
-        next.noteEnd({"j", 0, 0, 0}, runs.front(), jobs::RunEnd::Failed, "");
+        next.recordEnd({"j", 0, 0, 0}, runs.front(), jobs::RunEnd::Failed, "");
         CHECK(next.find({"j", 0, 0, 0})->failedRuns.size() == distinct.size());
         CHECK(next.state != JobState::Failed);
-        next.noteEnd({"j", 0, 0, 0}, 77, jobs::RunEnd::Failed, "");
-        next.noteEnd({"j", 0, 0, 0}, 78, jobs::RunEnd::Failed, "");
+        next.recordEnd({"j", 0, 0, 0}, 77, jobs::RunEnd::Failed, "");
+        next.recordEnd({"j", 0, 0, 0}, 78, jobs::RunEnd::Failed, "");
         CHECK(next.state == JobState::Failed);
     }
 }
--- a/packages/scheduling/src/scheduling_measure.cpp
+++ b/packages/scheduling/src/scheduling_measure.cpp
@@ -95,7 +95,7 @@
                        listing.capacity, listing.id});
     }
     scheduler.setAllWorkersKnown();
-    fleet.listVms(vms, now);
+    fleet.updateVms(vms, now);
     Totals totals;
     const auto end = now + policy::fromSeconds(seconds);
     double dueJobs = 0;
@@ -151,7 +151,7 @@
             continue;
         begin = processorSeconds();
         for (const auto &order : fleet.plan(scheduler, now, 0))
-            fleet.answered(order, FleetAnswer::Refused, scheduler, now);
+            fleet.handleAnswer(order, FleetAnswer::Refused, scheduler, now);
         totals.fleet += processorSeconds() - begin;
     }
     std::printf(
--- a/packages/scheduling/src/vm_answer_test.cpp
+++ b/packages/scheduling/src/vm_answer_test.cpp
@@ -78,12 +78,13 @@
     fixture.planner.addWave({1, {vm}, 30s, 1}, {}, fixture.now);
     const auto orders = ordersAboutVm(fixture);
     REQUIRE(orders.size() == 1);
-    CHECK(fixture.planner.mayGive(orders[0], fixture.scheduler, fixture.now));
+    CHECK(fixture.planner.canSend(orders[0], fixture.scheduler, fixture.now));
     const bool isOpen = GENERATE(false, true);
     if (isOpen)
-        fixture.planner.answered(orders[0], FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+        fixture.planner.handleAnswer(orders[0], FleetAnswer::NoAnswer, fixture.scheduler,
+                                     fixture.now);
     fixture.scheduler.incarnationEnded("w-one0", EndEvidence::Entry, fixture.now);
-    CHECK(fixture.planner.mayGive(orders[0], fixture.scheduler, fixture.now) == isOpen);
+    CHECK(fixture.planner.canSend(orders[0], fixture.scheduler, fixture.now) == isOpen);
 }
 
 // Guards against tasks that run twice, and VMs that the leader no longer uses, after an order that
@@ -117,7 +118,8 @@
     auto orders = ordersAboutVm(fixture);
     REQUIRE(orders.size() == 1);
     if (row.isRepeated)
-        fixture.planner.answered(orders[0], FleetAnswer::NoAnswer, fixture.scheduler, fixture.now);
+        fixture.planner.handleAnswer(orders[0], FleetAnswer::NoAnswer, fixture.scheduler,
+                                     fixture.now);
     const std::string id = row.next == Next::OtherId ? "n-one0" : "w-one0";
     if (row.next != Next::SameWorker)
         listNext(fixture, id, "one");
@@ -129,7 +131,7 @@
     }
     fixture.addRunningJob("one", 1, 1000);
     CHECK(fixture.scheduler.findWorker(id)->runs.empty());
-    fixture.planner.answered(orders[0], FleetAnswer::Accepted, fixture.scheduler, fixture.now);
+    fixture.planner.handleAnswer(orders[0], FleetAnswer::Accepted, fixture.scheduler, fixture.now);
     CHECK(startsOn(fixture, id) == (row.atOnce ? 1 : 0));
     // Its entry remains in the list of workers.
     const auto listing = fixture.scheduler.findWorker(id)->listing;
--- a/packages/scheduling/tests/fault_sequence_simulation.h
+++ b/packages/scheduling/tests/fault_sequence_simulation.h
@@ -84,7 +84,7 @@
         SimLeader(std::int64_t fence, Instant now)
             : fence(fence)
             , scheduler(SchedulerTimes{}, fence * 1000, now)
-            , planner(FleetTerms{})
+            , planner(FleetPlannerOptions{})
             , confirmedAt(now)
         {}
 
@@ -419,7 +419,7 @@
     {
         if (this->now - leader->vmsListedAt >= listPeriod) {
             leader->vmsListedAt = this->now;
-            leader->planner.listVms(this->fleet.vms, this->now);
+            leader->planner.updateVms(this->fleet.vms, this->now);
         }
         for (const auto &order : leader->planner.plan(leader->scheduler, this->now, 0)) {
             const auto vm = static_cast<std::size_t>(std::stoul(order.vm.substr(2)));
@@ -427,8 +427,8 @@
             const auto answer = this->execute(order, vm);
             this->runAfter(isLost ? callTimeout : tickTime, [this, leader, order, answer, isLost] {
                 if (leader->alive)
-                    leader->planner.answered(order, isLost ? FleetAnswer::NoAnswer : answer,
-                                             leader->scheduler, this->now);
+                    leader->planner.handleAnswer(order, isLost ? FleetAnswer::NoAnswer : answer,
+                                                 leader->scheduler, this->now);
             });
         }
     }
--- a/packages/scheduling/tests/fleet_fixture.h
+++ b/packages/scheduling/tests/fleet_fixture.h
@@ -16,7 +16,7 @@
 {
     FleetFixture(std::size_t first, std::size_t second, std::size_t standby)
         : scheduler(SchedulerTimes{}, 0, start)
-        , planner(FleetTerms{})
+        , planner(FleetPlannerOptions{})
     {
         Configuration configuration;
         configuration.version = 1;
@@ -32,7 +32,7 @@
         this->addPool("one", first);
         this->addPool("two", second);
         this->addPool("off", standby);
-        this->planner.listVms(this->vms, this->now);
+        this->planner.updateVms(this->vms, this->now);
     }
 
     void addPool(const std::string &pool, std::size_t count)
--- a/packages/scheduling/tests/sim_worker.h
+++ b/packages/scheduling/tests/sim_worker.h
@@ -74,7 +74,7 @@
         std::vector<std::pair<RunKey, jobs::RunEnd>> finished;
         for (const auto &entry : this->runs) {
             if (isLeaseExpired)
-                finished.push_back({entry.first, jobs::RunEnd::Lapsed});
+                finished.push_back({entry.first, jobs::RunEnd::LeaseExpired});
             else if (now >= entry.second.endsAt)
                 finished.push_back(
                     {entry.first, entry.second.fails ? jobs::RunEnd::Failed : jobs::RunEnd::Done});
--- a/packages/scheduling/tests/vm_move_calls.h
+++ b/packages/scheduling/tests/vm_move_calls.h
@@ -162,7 +162,7 @@
 {
     if (this->now - leader->vmsListedAt >= listPeriod) {
         leader->vmsListedAt = this->now;
-        leader->planner.listVms(this->listedVms(), this->now);
+        leader->planner.updateVms(this->listedVms(), this->now);
     }
     for (const auto &order : leader->planner.plan(leader->scheduler, this->now, 0)) {
         const auto vm = static_cast<std::size_t>(std::stoul(order.vm.substr(2)));
@@ -175,8 +175,8 @@
                                 : tickTime,
                        [this, leader, order, answer] {
                            if (leader->alive)
-                               leader->planner.answered(order, answer, leader->scheduler,
-                                                        this->now);
+                               leader->planner.handleAnswer(order, answer, leader->scheduler,
+                                                            this->now);
                        });
     }
 }
--- a/packages/scheduling/tests/vm_move_simulation.h
+++ b/packages/scheduling/tests/vm_move_simulation.h
@@ -96,7 +96,7 @@
         SimLeader(std::int64_t fence, Instant now)
             : fence(fence)
             , scheduler(SchedulerTimes{}, fence * 1000, now)
-            , planner(FleetTerms{})
+            , planner(FleetPlannerOptions{})
             , confirmedAt(now)
         {}
 
