--- a/packages/coordination/include/sassafrasferry/coordination/call_relay.h
+++ b/packages/coordination/include/sassafrasferry/coordination/call_relay.h
@@ -27,15 +27,15 @@
 messages::WorkerCallAnswer answerRecord(const HoldAnswer &answer);
 
 /// The leader's side: sends calls to relays and returns the answers to the callers.
-class CallRelay
+class RelayClient
 {
 public:
     using Send = std::function<bool(const model::Endpoint &, const messages::JobEnvelope &)>;
 
-    CallRelay(http::asio::any_io_executor executor, model::Endpoint self, Send send);
+    RelayClient(http::asio::any_io_executor executor, model::Endpoint self, Send send);
 
     /// Notes a message of an entry VM, which makes it a relay until `relayTimeout` has passed.
-    void heard(const model::Endpoint &peer);
+    void addRelay(const model::Endpoint &peer);
     /// Makes a call through the relay assigned to the worker. After the timeout the result is
     /// NoAnswer, although the call may still reach the worker.
     Awaitable<messages::WorkerCallAnswer> call(messages::WorkerCall call,
@@ -71,10 +71,10 @@
 
 /// The relay's side: makes calls to workers on behalf of a leader.
 template<WorkerCalls Worker>
-class CallAgent : public std::enable_shared_from_this<CallAgent<Worker>>
+class RelayServer : public std::enable_shared_from_this<RelayServer<Worker>>
 {
 public:
-    CallAgent(http::asio::any_io_executor executor, CallRelay::Send send)
+    RelayServer(http::asio::any_io_executor executor, RelayClient::Send send)
         : executor(executor)
         , send(std::move(send))
     {}
@@ -192,7 +192,7 @@
     }
 
     http::asio::any_io_executor executor;
-    CallRelay::Send send;
+    RelayClient::Send send;
     std::map<std::string, Client> clients; // by worker
     std::map<std::string, messages::WorkerCallAnswers> batches; // by address of the leader
 };
@@ -204,7 +204,7 @@
 {
 public:
     RelayedWorker(http::asio::any_io_executor executor, std::string id,
-                  const model::Endpoint &endpoint, std::function<CallRelay *()> relay)
+                  const model::Endpoint &endpoint, std::function<RelayClient *()> relay)
         : id(id)
         , address(model::toString(endpoint))
         , direct(std::move(executor), std::move(id), endpoint)
@@ -266,7 +266,7 @@
     std::string id;
     std::string address;
     Worker direct;
-    std::function<CallRelay *()> relay; // returns nullptr for direct calls
+    std::function<RelayClient *()> relay; // returns nullptr for direct calls
 };
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/fleet_keeper.h
+++ b/packages/coordination/include/sassafrasferry/coordination/fleet_controller.h
@@ -40,7 +40,7 @@
 };
 
 template<store::PartStore Store, CloudCalls Cloud>
-class FleetKeeper : public std::enable_shared_from_this<FleetKeeper<Store, Cloud>>
+class FleetController : public std::enable_shared_from_this<FleetController<Store, Cloud>>
 {
 public:
     struct Options
@@ -56,8 +56,8 @@
         std::function<void()> onChange; ///< called when the scheduler should plan again
     };
 
-    FleetKeeper(http::asio::any_io_executor executor, Store &store, Cloud &cloud,
-                scheduling::Scheduler &scheduler, Options options)
+    FleetController(http::asio::any_io_executor executor, Store &store, Cloud &cloud,
+                    scheduling::Scheduler &scheduler, Options options)
         : executor(executor)
         , store(store)
         , cloud(cloud)
--- a/packages/coordination/include/sassafrasferry/coordination/job_node.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_node.h
@@ -56,7 +56,7 @@
                 [this](const auto &peer, const auto &envelope) {
                     return this->messenger.send(peer, envelope);
                 })
-        , agent(std::make_shared<CallAgent<typename Platform::Worker>>(
+        , agent(std::make_shared<RelayServer<typename Platform::Worker>>(
               this->executor,
               [this](const auto &peer, const auto &envelope) {
                   return this->messenger.send(peer, envelope);
@@ -202,7 +202,7 @@
         auto leader = this->otherLeader();
         if (leader)
             return leader;
-        return model::parseEndpoint(this->successors.strongest(bootNow()));
+        return model::parseEndpoint(this->successors.strongestPeer(bootNow()));
     }
 
     Awaitable<std::optional<IntakeResult>> handInThroughPeer(std::string job, std::string record,
@@ -320,7 +320,7 @@
     {
         messages::JobAnswer answer;
         this->recordPeer(question);
-        answer.set_leads(this->leadership.leads());
+        answer.set_leads(this->leadership.isLeader());
         answer.set_leaving(this->stopping);
         answer.set_lease_version(this->leadership.leaseVersion());
         answer.set_ready(this->leader && this->leader->isReady());
@@ -338,7 +338,7 @@
     Awaitable<void> helloLoop()
     {
         for (;;) {
-            if (this->leadership.leads()) {
+            if (this->leadership.isLeader()) {
                 this->handOverToStronger();
             } else if (const auto address = this->otherLeader()) {
                 messages::JobQuestion question;
@@ -346,9 +346,9 @@
                 const auto answer =
                     co_await this->messenger.ask(*address, question, questionTimeout);
                 if (answer && answer->leads() && !answer->leaving())
-                    this->leadership.heard(answer->lease_version());
+                    this->leadership.noteLeaderAnswer(answer->lease_version());
                 else if (answer)
-                    this->leadership.denied();
+                    this->leadership.noteNotLeader();
             }
             co_await pause(helloPeriod);
         }
@@ -423,13 +423,13 @@
     void recordPeer(const messages::JobQuestion &question)
     {
         if (const auto peer = model::parseEndpoint(question.address()))
-            this->relay.heard(*peer);
-        this->successors.heard(question, bootNow());
+            this->relay.addRelay(*peer);
+        this->successors.noteQuestion(question, bootNow());
     }
 
     void handOverToStronger()
     {
-        const auto successor = this->successors.better(bootNow());
+        const auto successor = this->successors.strongerPeer(bootNow());
         if (!successor.empty() && this->leadership.sinceConfirmed() < maxConfirmationAge)
             this->stepDown("a stronger entry VM is available", successor);
     }
@@ -451,8 +451,8 @@
     StoredJobs<Store> stored;
     OperatorRows<Platform> operatorRows;
     JobMessenger messenger;
-    CallRelay relay;
-    std::shared_ptr<CallAgent<typename Platform::Worker>> agent;
+    RelayClient relay;
+    std::shared_ptr<RelayServer<typename Platform::Worker>> agent;
     SuccessorChoice successors;
     Leadership<Store> leadership;
     std::shared_ptr<TableFollower<Store>> operators; // follows the operators' table
--- a/packages/coordination/include/sassafrasferry/coordination/job_platform.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_platform.h
@@ -1,7 +1,7 @@
 // Requirements on the platform that the job scheduler runs on.
 #pragma once
 
-#include <sassafrasferry/coordination/fleet_keeper.h>
+#include <sassafrasferry/coordination/fleet_controller.h>
 #include <sassafrasferry/coordination/worker_calls.h>
 
 #include <absl/status/statusor.h>
--- a/packages/coordination/include/sassafrasferry/coordination/leader.h
+++ b/packages/coordination/include/sassafrasferry/coordination/leader.h
@@ -4,7 +4,7 @@
 
 #include <sassafrasferry/coordination/call_relay.h>
 #include <sassafrasferry/coordination/decision_log.h>
-#include <sassafrasferry/coordination/fleet_keeper.h>
+#include <sassafrasferry/coordination/fleet_controller.h>
 #include <sassafrasferry/coordination/job_book.h>
 #include <sassafrasferry/coordination/job_platform.h>
 #include <sassafrasferry/coordination/job_recorder.h>
@@ -37,7 +37,7 @@
         std::function<void(const std::string &why)> onDeposed;
         OnFailure onFailed; ///< called when this process can't lead at present
         std::function<Duration()> sinceConfirmed; ///< time since the store last confirmed the lease
-        CallRelay *relay = nullptr; ///< relays the calls to workers when there are many of them
+        RelayClient *relay = nullptr; ///< relays the calls to workers when there are many of them
         Duration orderLimit{}; ///< no order is given this long after the last confirmation
         /// Records the VMs of the next orders for a successor. The orders are given only if it
         /// returns true.
@@ -252,7 +252,7 @@
     // With fewer workers the leader calls them directly, since a relay adds a few milliseconds.
     static constexpr std::size_t minWorkersForRelay = 100;
 
-    CallRelay *relay() const
+    RelayClient *relay() const
     {
         const bool hasManyWorkers = this->listedWorkers >= minWorkersForRelay;
         return hasManyWorkers && this->options.relay->isOpen() ? this->options.relay : nullptr;
@@ -267,7 +267,7 @@
     void beginFleet()
     {
         auto self = this->shared_from_this();
-        typename FleetKeeper<Store, Cloud>::Options fleetOptions;
+        typename FleetController<Store, Cloud>::Options fleetOptions;
         fleetOptions.fence = this->tenure.fence;
         fleetOptions.deferredVms = this->tenure.orderedVms;
         fleetOptions.deferredUntil = this->tookOverAt + this->options.handOverDelay + vmOrderMargin;
@@ -279,7 +279,7 @@
         fleetOptions.onChange = [self] {
             self->planWake.notify();
         };
-        this->fleet = std::make_shared<FleetKeeper<Store, Cloud>>(
+        this->fleet = std::make_shared<FleetController<Store, Cloud>>(
             this->executor, this->store, this->cloud, this->scheduler, std::move(fleetOptions));
         for (const auto &wave : this->waves)
             this->fleet->addWave(wave);
@@ -395,7 +395,7 @@
     JobBook book;
     std::shared_ptr<Roster> roster;
     std::vector<scheduling::Wave> waves;
-    std::shared_ptr<FleetKeeper<Store, Cloud>> fleet;
+    std::shared_ptr<FleetController<Store, Cloud>> fleet;
     std::shared_ptr<TableFollower<Store>> intakeFollower;
     std::shared_ptr<TableFollower<Store>> workerFollower;
     Wake planWake;
--- a/packages/coordination/include/sassafrasferry/coordination/leadership.h
+++ b/packages/coordination/include/sassafrasferry/coordination/leadership.h
@@ -90,7 +90,7 @@
         }
     }
 
-    bool leads() const
+    bool isLeader() const
     {
         return this->leading;
     }
@@ -113,14 +113,14 @@
     }
 
     /// Notes that the leader answered, and the version of its lease row that it reported.
-    void heard(std::int64_t leaseVersion)
+    void noteLeaderAnswer(std::int64_t leaseVersion)
     {
         this->leaderAnsweredAt = bootNow();
         this->noteVersion(leaseVersion);
     }
 
     /// Notes that the presumed leader does not lead, or is about to stop.
-    void denied()
+    void noteNotLeader()
     {
         this->leaderAnsweredAt = {};
     }
--- a/packages/coordination/include/sassafrasferry/coordination/successor.h
+++ b/packages/coordination/include/sassafrasferry/coordination/successor.h
@@ -22,7 +22,7 @@
 
     /// Notes a question of an entry VM. Questions on behalf of callers are ignored, since they
     /// don't carry the number of cores.
-    void heard(const messages::JobQuestion &question, Instant now)
+    void noteQuestion(const messages::JobQuestion &question, Instant now)
     {
         const bool isHello =
             question.job().empty() && question.queue().empty() && !question.has_hand_in();
@@ -32,16 +32,16 @@
 
     /// Address of the strongest live entry VM if it has enough more cores than this one to justify
     /// a change of leader; empty otherwise.
-    std::string better(Instant now) const
+    std::string strongerPeer(Instant now) const
     {
-        const auto best = this->strongest(now);
+        const auto best = this->strongestPeer(now);
         const bool isWorthChange =
             !best.empty() && this->peers.at(best).cores >= this->ownCores * minCoresRatio;
         return isWorthChange ? best : "";
     }
 
     /// Address of the strongest live entry VM that could lead; empty if there is none.
-    std::string strongest(Instant now) const
+    std::string strongestPeer(Instant now) const
     {
         std::string best;
         double mostCores = 0;
--- a/packages/coordination/include/sassafrasferry/coordination/vm_survey.h
+++ b/packages/coordination/include/sassafrasferry/coordination/vm_survey.h
@@ -1,7 +1,7 @@
 // Informs a new leader's scheduler of workers from the platform's list of VMs.
 #pragma once
 
-#include <sassafrasferry/coordination/fleet_keeper.h>
+#include <sassafrasferry/coordination/fleet_controller.h>
 #include <sassafrasferry/coordination/timing.h>
 
 #include <functional>
--- a/packages/coordination/include/sassafrasferry/coordination/worker_calls.h
+++ b/packages/coordination/include/sassafrasferry/coordination/worker_calls.h
@@ -19,7 +19,7 @@
     std::chrono::milliseconds wait{0};
     /// Timeout of the answer in addition to `wait`. If empty, the timeout of other calls applies.
     /// Ignored by calls through a relay.
-    std::optional<std::chrono::milliseconds> patience;
+    std::optional<std::chrono::milliseconds> answerTimeout;
 };
 
 struct HoldAnswer
--- a/packages/coordination/include/sassafrasferry/coordination/worker_session.h
+++ b/packages/coordination/include/sassafrasferry/coordination/worker_session.h
@@ -123,7 +123,7 @@
             if (!isSurvey)
                 request.wait = holdWait;
             else
-                request.patience = surveyTimeout(this->scheduler.listedWorkers());
+                request.answerTimeout = surveyTimeout(this->scheduler.listedWorkers());
             auto answer = co_await this->calls->hold(request);
             if (this->stopped)
                 co_return;
--- a/packages/coordination/src/call_relay.cpp
+++ b/packages/coordination/src/call_relay.cpp
@@ -117,18 +117,18 @@
     return record;
 }
 
-CallRelay::CallRelay(http::asio::any_io_executor executor, model::Endpoint self, Send send)
+RelayClient::RelayClient(http::asio::any_io_executor executor, model::Endpoint self, Send send)
     : executor(std::move(executor))
     , self(std::move(self))
     , send(std::move(send))
 {}
 
-void CallRelay::heard(const model::Endpoint &peer)
+void RelayClient::addRelay(const model::Endpoint &peer)
 {
     this->relays[model::toString(peer)] = bootNow();
 }
 
-bool CallRelay::isOpen() const
+bool RelayClient::isOpen() const
 {
     const auto now = bootNow();
     const auto live =
@@ -138,7 +138,7 @@
 }
 
 // Rendezvous hashing: a relay that joins or leaves changes the assignment of few workers only.
-const std::string *CallRelay::relayFor(const std::string &worker) const
+const std::string *RelayClient::relayFor(const std::string &worker) const
 {
     const auto now = bootNow();
     const std::string *best = nullptr;
@@ -155,8 +155,8 @@
     return best;
 }
 
-Awaitable<messages::WorkerCallAnswer> CallRelay::call(messages::WorkerCall call,
-                                                      std::chrono::milliseconds timeout)
+Awaitable<messages::WorkerCallAnswer> RelayClient::call(messages::WorkerCall call,
+                                                        std::chrono::milliseconds timeout)
 {
     co_return co_await http::awaitCallback<messages::WorkerCallAnswer>([&](auto done) {
         const auto *relay = this->relayFor(call.worker());
@@ -179,7 +179,7 @@
     });
 }
 
-Awaitable<void> CallRelay::flushSoon()
+Awaitable<void> RelayClient::flushSoon()
 {
     co_await pause(batchDelay);
     this->flushing = false;
@@ -187,7 +187,7 @@
 }
 
 // Runs while calls are pending.
-Awaitable<void> CallRelay::expireLoop()
+Awaitable<void> RelayClient::expireLoop()
 {
     while (!this->pending.empty()) {
         co_await pause(expiryTick);
@@ -196,7 +196,7 @@
     this->expiring = false;
 }
 
-void CallRelay::flush()
+void RelayClient::flush()
 {
     for (auto &batch : std::exchange(this->batches, {})) {
         const auto relay = model::parseEndpoint(batch.first);
@@ -213,7 +213,7 @@
     }
 }
 
-void CallRelay::expire(Instant now)
+void RelayClient::expire(Instant now)
 {
     std::vector<std::uint64_t> late;
     for (const auto &entry : this->pending) {
@@ -227,7 +227,7 @@
     }
 }
 
-void CallRelay::finish(std::uint64_t number, messages::WorkerCallAnswer answer)
+void RelayClient::finish(std::uint64_t number, messages::WorkerCallAnswer answer)
 {
     const auto at = this->pending.find(number);
     if (at == this->pending.end())
@@ -237,7 +237,7 @@
     done(std::move(answer));
 }
 
-void CallRelay::take(const messages::WorkerCallAnswers &answers)
+void RelayClient::take(const messages::WorkerCallAnswers &answers)
 {
     for (const auto &answer : answers.answers())
         this->finish(answer.number(), answer);
--- a/packages/coordination/src/call_relay_test.cpp
+++ b/packages/coordination/src/call_relay_test.cpp
@@ -22,7 +22,7 @@
                     return true;
                 })
     {
-        this->relay.heard({"127.0.0.2", 7060});
+        this->relay.addRelay({"127.0.0.2", 7060});
     }
 
     void call(http::asio::io_context &context)
@@ -39,7 +39,7 @@
 
     static constexpr std::chrono::milliseconds callTimeout{1000};
 
-    CallRelay relay;
+    RelayClient relay;
     std::vector<messages::WorkerCalls> sent;
     std::vector<scheduling::OrderAnswer> answers;
 };
--- a/packages/coordination/src/fleet_keeper_test.cpp
+++ b/packages/coordination/src/fleet_controller_test.cpp
@@ -1,5 +1,5 @@
 // Tests changes of a worker between the planner's decision about its VM and the call.
-#include <sassafrasferry/coordination/fleet_keeper.h>
+#include <sassafrasferry/coordination/fleet_controller.h>
 
 #include <boost/asio/io_context.hpp>
 
@@ -122,7 +122,7 @@
     MemoryStore memory;
     OneVmCloud cloud;
     MaintainedWorker maintained;
-    typename FleetKeeper<MemoryStore, OneVmCloud>::Options options;
+    typename FleetController<MemoryStore, OneVmCloud>::Options options;
     options.announce = [&](std::vector<std::string>) -> Awaitable<bool> {
         maintained.apply(row.change);
         co_return true;
@@ -135,7 +135,7 @@
     };
     options.onChange = [] {
     };
-    auto keeper = std::make_shared<FleetKeeper<MemoryStore, OneVmCloud>>(
+    auto keeper = std::make_shared<FleetController<MemoryStore, OneVmCloud>>(
         context.get_executor(), memory, cloud, maintained.scheduler, std::move(options));
     keeper->addWave({1, {vm}, std::chrono::seconds(20), 1});
     keeper->begin();
--- a/packages/coordination/src/leadership_test.cpp
+++ b/packages/coordination/src/leadership_test.cpp
@@ -28,7 +28,7 @@
                  times)
     {
         spawn(this->context.get_executor(), "first", [this] { return this->first.run(); });
-        this->runUntil([this] { return this->first.leads(); });
+        this->runUntil([this] { return this->first.isLeader(); });
         spawn(this->context.get_executor(), "second", [this] { return this->second.run(); });
     }
 
@@ -57,8 +57,8 @@
     Pair pair(times);
     spawn(pair.context.get_executor(), "step-down",
           [&] { return pair.first.stepDown({"vm-7"}, "can't read the jobs", ""); });
-    pair.runUntil([&] { return pair.second.leads(); });
-    CHECK_FALSE(pair.first.leads());
+    pair.runUntil([&] { return pair.second.isLeader(); });
+    CHECK_FALSE(pair.first.isLeader());
     CHECK(pair.taken.predecessorStopped);
     CHECK(pair.taken.knowsPredecessorOrders);
     CHECK(pair.taken.orderedVms == std::vector<std::string>{"vm-7"});
@@ -83,7 +83,7 @@
     spawn(context.get_executor(), "step-down", [&] { return only.stepDown({}, "stuck", ""); });
     while (tenures == 1)
         context.run_one();
-    CHECK(only.leads());
+    CHECK(only.isLeader());
 }
 
 // Guards against a lease that passes from a weak leader to another weak entry VM. The leader names
@@ -98,9 +98,9 @@
     const std::string successor = namesSecond ? "127.0.0.1:2" : "127.0.0.1:3";
     spawn(pair.context.get_executor(), "step-down",
           [&] { return pair.first.stepDown({}, "too weak", successor); });
-    pair.runUntil([&] { return !pair.first.leads(); });
+    pair.runUntil([&] { return !pair.first.isLeader(); });
     pair.context.run_for(std::chrono::milliseconds(1500));
-    CHECK(pair.second.leads() == namesSecond);
+    CHECK(pair.second.isLeader() == namesSecond);
 }
 
 // An entry VM that stepped down needs the new leader's address to ask it on behalf of its callers.
@@ -111,7 +111,7 @@
     Pair pair(times);
     spawn(pair.context.get_executor(), "step-down",
           [&] { return pair.first.stepDown({}, "too weak", "127.0.0.1:2"); });
-    pair.runUntil([&] { return pair.second.leads(); });
+    pair.runUntil([&] { return pair.second.isLeader(); });
     pair.context.run_for(std::chrono::milliseconds(600));
     REQUIRE(pair.first.leaderAddress());
     CHECK(model::toString(*pair.first.leaderAddress()) == "127.0.0.1:2");
@@ -132,9 +132,9 @@
         co_await pair.first.release({});
     });
     pair.context.run_for(std::chrono::milliseconds(300));
-    CHECK(pair.first.leads());
+    CHECK(pair.first.isLeader());
     pair.store.isAway = false;
-    pair.runUntil([&] { return pair.second.leads(); });
+    pair.runUntil([&] { return pair.second.isLeader(); });
     CHECK(pair.taken.knowsPredecessorOrders);
 }
 
@@ -147,8 +147,8 @@
         co_await pair.first.awaitConfirmation(bootNow());
         co_await pair.first.release({});
     });
-    pair.runUntil([&] { return !pair.first.leads(); });
-    CHECK_FALSE(pair.second.leads());
+    pair.runUntil([&] { return !pair.first.isLeader(); });
+    CHECK_FALSE(pair.second.isLeader());
 }
 
 // Guards against a delay of three seconds for orders about all VMs after the loss of a leader whose
@@ -164,7 +164,7 @@
           [&]() -> Awaitable<void> { isAnnounced = co_await pair.first.announce(vms); });
     pair.runUntil([&] { return isAnnounced; });
     pair.first.deposed("its process ends");
-    pair.runUntil([&] { return pair.second.leads(); });
+    pair.runUntil([&] { return pair.second.isLeader(); });
     CHECK_FALSE(pair.taken.predecessorStopped);
     CHECK(pair.taken.knowsPredecessorOrders);
     CHECK(pair.taken.orderedVms == vms);
--- a/packages/coordination/src/successor_test.cpp
+++ b/packages/coordination/src/successor_test.cpp
@@ -49,8 +49,8 @@
     const auto now = Instant(std::chrono::seconds(100));
     SuccessorChoice choice(row.own);
     for (const auto &hello : row.hellos)
-        choice.heard(questionOf(hello), now - milliseconds(hello.ago));
-    CHECK(choice.better(now) == row.successor);
+        choice.noteQuestion(questionOf(hello), now - milliseconds(hello.ago));
+    CHECK(choice.strongerPeer(now) == row.successor);
 }
 
 // Guards against a weak leader under load that finds no successor. Entry VMs constantly ask it on
@@ -60,7 +60,7 @@
 {
     const auto now = Instant(std::chrono::seconds(100));
     SuccessorChoice choice(0.12);
-    choice.heard(questionOf({"a", 0.5, 0}), now);
+    choice.noteQuestion(questionOf({"a", 0.5, 0}), now);
     sassafrasferry::messages::JobQuestion question;
     question.set_address("a");
     SECTION("about a job")
@@ -71,6 +71,6 @@
     {
         question.set_queue("q");
     }
-    choice.heard(question, now);
-    CHECK(choice.better(now) == "a");
+    choice.noteQuestion(question, now);
+    CHECK(choice.strongerPeer(now) == "a");
 }
