--- a/packages/coordination/include/sassafrasferry/coordination/decision_log.h
+++ b/packages/coordination/include/sassafrasferry/coordination/decision_log.h
@@ -12,9 +12,9 @@
 
 /// Logs the notes of a scheduling round as one log record of many lines. A record for each note
 /// would cost the leader more time than the decisions themselves.
-void tellRound(const std::vector<scheduling::DecisionNote> &notes, Instant at);
+void logRound(const std::vector<scheduling::DecisionNote> &notes, Instant at);
 
 /// Logs one line per service with its queued and running work and its capacity.
-void tellLoads(const std::map<std::string, scheduling::ServiceLoad> &loads);
+void logLoads(const std::map<std::string, scheduling::ServiceLoad> &loads);
 
 } // namespace sassafrasferry::coordination
--- a/packages/coordination/include/sassafrasferry/coordination/hand_in.h
+++ b/packages/coordination/include/sassafrasferry/coordination/hand_in.h
@@ -12,7 +12,7 @@
 constexpr IntakeResult combineResults(IntakeResult own, std::optional<IntakeResult> peer)
 {
     const auto isStored = [](IntakeResult result) {
-        return result == IntakeResult::Stored || result == IntakeResult::Known;
+        return result == IntakeResult::Stored || result == IntakeResult::AlreadyStored;
     };
     if (isStored(own))
         return own;
@@ -35,7 +35,7 @@
                                std::string record, Instant deadline)
 {
     const auto own = co_await intake.submit(job, record, deadline);
-    if (own == IntakeResult::Stored || own == IntakeResult::Known || bootNow() >= deadline)
+    if (own == IntakeResult::Stored || own == IntakeResult::AlreadyStored || bootNow() >= deadline)
         co_return own;
     const auto peer = co_await askPeer(std::move(job), std::move(record));
     co_return combineResults(own, peer);
--- a/packages/coordination/include/sassafrasferry/coordination/intake.h
+++ b/packages/coordination/include/sassafrasferry/coordination/intake.h
@@ -21,7 +21,7 @@
 /// Outcome of storing a submitted job.
 enum class IntakeResult {
     Stored,
-    Known, ///< a row of the job existed before
+    AlreadyStored, ///< a row of the job existed before
     Refused, ///< the job was not stored and will not be stored later
     Unknown, ///< the job may be stored now or later
 };
@@ -30,7 +30,7 @@
 {
     return std::array{
         model::EnumName{IntakeResult::Stored, "stored"},
-        model::EnumName{IntakeResult::Known, "known"},
+        model::EnumName{IntakeResult::AlreadyStored, "known"},
         model::EnumName{IntakeResult::Refused, "refused"},
         model::EnumName{IntakeResult::Unknown, "unknown"},
     };
@@ -207,7 +207,7 @@
                 return row.key == item->job && row.version != store::absent;
             });
             if (exists)
-                item->answer(IntakeResult::Known);
+                item->answer(IntakeResult::AlreadyStored);
         }
     }
 
--- a/packages/coordination/include/sassafrasferry/coordination/job_book.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_loader.h
@@ -13,18 +13,18 @@
 
 /// Adds jobs to the scheduler from the store's rows. The order is: all rows of the progress table,
 /// all rows of the intake table, then each change of the intake table.
-class JobBook
+class JobLoader
 {
 public:
-    explicit JobBook(scheduling::Scheduler &scheduler);
+    explicit JobLoader(scheduling::Scheduler &scheduler);
 
-    /// Takes rows of the progress table. Must be called before the first `takeIntake`.
-    void takeProgress(const std::vector<store::PartRow> &rows);
+    /// Takes rows of the progress table. Must be called before the first `addIntake`.
+    void addProgress(const std::vector<store::PartRow> &rows);
 
     /// Takes rows of the intake table. Returns the jobs that a row cancels and that had not ended.
-    std::vector<std::string> takeIntake(const std::vector<store::PartRow> &rows);
+    std::vector<std::string> addIntake(const std::vector<store::PartRow> &rows);
 
-    /// True after the first `takeIntake`: all jobs that were in the store have been added.
+    /// True after the first `addIntake`: all jobs that were in the store have been added.
     bool isComplete() const;
 
 private:
--- a/packages/coordination/include/sassafrasferry/coordination/job_node.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_node.h
@@ -183,7 +183,7 @@
                   << " config=" << this->configuration().version;
         switch (result) {
         case IntakeResult::Stored:
-        case IntakeResult::Known:
+        case IntakeResult::AlreadyStored:
             co_return http::jsonResponse(http::Status::ok, {{"state", "queued"}});
         case IntakeResult::Refused:
             co_return retryLater("the store takes no jobs now",
--- a/packages/coordination/include/sassafrasferry/coordination/job_recorder.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_recorder.h
@@ -64,7 +64,7 @@
     }
 
     /// Notes that the job has a cancellation row, which is deleted together with its intake row.
-    void cancelled(const std::string &job)
+    void addCancellation(const std::string &job)
     {
         this->cancellations.insert(job);
     }
--- a/packages/coordination/include/sassafrasferry/coordination/leader.h
+++ b/packages/coordination/include/sassafrasferry/coordination/leader.h
@@ -5,7 +5,7 @@
 #include <sassafrasferry/coordination/call_relay.h>
 #include <sassafrasferry/coordination/decision_log.h>
 #include <sassafrasferry/coordination/fleet_controller.h>
-#include <sassafrasferry/coordination/job_book.h>
+#include <sassafrasferry/coordination/job_loader.h>
 #include <sassafrasferry/coordination/job_platform.h>
 #include <sassafrasferry/coordination/job_recorder.h>
 #include <sassafrasferry/coordination/leadership.h>
@@ -58,7 +58,7 @@
         , tookOverAt(bootNow())
         , options(std::move(options))
         , scheduler(timesFor(this->options, tenure), tenure.term * runsPerTerm, bootNow())
-        , book(this->scheduler)
+        , jobLoader(this->scheduler)
         , planWake(executor)
     {
         this->scheduler.setConfiguration(std::move(configuration));
@@ -100,7 +100,7 @@
     /// True once all jobs and all worker entries have been loaded.
     bool isReady() const
     {
-        return this->book.isComplete() && this->knowsWorkers;
+        return this->jobLoader.isComplete() && this->knowsWorkers;
     }
 
     void setConfiguration(scheduling::Configuration configuration)
@@ -308,7 +308,7 @@
             }
             if (this->stopped)
                 co_return false;
-            this->book.takeProgress(page->rows);
+            this->jobLoader.addProgress(page->rows);
             ++this->loadSteps;
         }
         co_return true;
@@ -316,8 +316,8 @@
 
     void takeIntake(const std::vector<store::PartRow> &rows)
     {
-        for (const auto &job : this->book.takeIntake(rows))
-            this->recorder->cancelled(job);
+        for (const auto &job : this->jobLoader.addIntake(rows))
+            this->recorder->addCancellation(job);
         ++this->loadSteps;
         this->planWake.notify();
         this->recorder->wake();
@@ -367,7 +367,7 @@
             const auto begin = bootNow();
             this->roster->give(this->scheduler.plan(begin, http::unixNow()));
             this->lastPlanDuration = bootNow() - begin;
-            tellRound(this->scheduler.takeNotes(), begin);
+            logRound(this->scheduler.takeNotes(), begin);
             if (this->scheduler.hasDirty())
                 this->recorder->wake();
             this->logLoadsPeriodically(begin);
@@ -381,7 +381,7 @@
         this->loadsLoggedAt = now;
         this->roster->forget(now);
         this->listedWorkers = this->scheduler.listedWorkers();
-        tellLoads(this->scheduler.loads(now, http::unixNow()));
+        logLoads(this->scheduler.loads(now, http::unixNow()));
     }
 
     http::asio::any_io_executor executor;
@@ -392,7 +392,7 @@
     Options options;
     scheduling::Scheduler scheduler;
     std::shared_ptr<JobRecorder<Store>> recorder;
-    JobBook book;
+    JobLoader jobLoader;
     std::shared_ptr<Roster> roster;
     std::vector<scheduling::Wave> waves;
     std::shared_ptr<FleetController<Store, Cloud>> fleet;
--- a/packages/coordination/src/decision_log.cpp
+++ b/packages/coordination/src/decision_log.cpp
@@ -7,7 +7,7 @@
 
 namespace sassafrasferry::coordination {
 
-void tellRound(const std::vector<scheduling::DecisionNote> &notes, Instant at)
+void logRound(const std::vector<scheduling::DecisionNote> &notes, Instant at)
 {
     if (notes.empty())
         return;
@@ -19,7 +19,7 @@
     LOG(INFO) << lines;
 }
 
-void tellLoads(const std::map<std::string, scheduling::ServiceLoad> &loads)
+void logLoads(const std::map<std::string, scheduling::ServiceLoad> &loads)
 {
     for (const auto &entry : loads) {
         const auto &load = entry.second;
--- a/packages/coordination/src/hand_in_test.cpp
+++ b/packages/coordination/src/hand_in_test.cpp
@@ -22,9 +22,9 @@
 
 const std::vector<CombineCase> combinations{
     {IntakeResult::Stored, std::nullopt, IntakeResult::Stored},
-    {IntakeResult::Known, IntakeResult::Refused, IntakeResult::Known},
+    {IntakeResult::AlreadyStored, IntakeResult::Refused, IntakeResult::AlreadyStored},
     {IntakeResult::Refused, IntakeResult::Stored, IntakeResult::Stored},
-    {IntakeResult::Refused, IntakeResult::Known, IntakeResult::Known},
+    {IntakeResult::Refused, IntakeResult::AlreadyStored, IntakeResult::AlreadyStored},
     {IntakeResult::Refused, IntakeResult::Refused, IntakeResult::Refused},
     {IntakeResult::Refused, IntakeResult::Unknown, IntakeResult::Unknown},
     {IntakeResult::Refused, std::nullopt, IntakeResult::Unknown},
@@ -48,7 +48,7 @@
 {
     http::asio::io_context context;
     MemoryStore away;
-    away.isAway = true;
+    away.refusesCommits = true;
     Intake<MemoryStore> own(away, context.get_executor());
     std::optional<IntakeResult> result;
     Duration took{};
--- a/packages/coordination/src/intake_test.cpp
+++ b/packages/coordination/src/intake_test.cpp
@@ -108,13 +108,13 @@
 TEST_CASE("The store counts as failing from its first refusal until it stores a job")
 {
     World world;
-    world.store.isAway = true;
+    world.store.refusesCommits = true;
     Submission refused;
     world.submit("a0", refused);
     world.runUntilAnswered({&refused});
     CHECK(refused.result == IntakeResult::Refused);
     CHECK(world.intake.failingFor() > 200ms);
-    world.store.isAway = false;
+    world.store.refusesCommits = false;
     world.context.run_for(300ms);
     Submission stored;
     world.submit("a0", stored);
--- a/packages/coordination/src/job_book.cpp
+++ b/packages/coordination/src/job_loader.cpp
@@ -1,5 +1,5 @@
 // Loads jobs and cancellations from the store's rows into a new leader's scheduler.
-#include <sassafrasferry/coordination/job_book.h>
+#include <sassafrasferry/coordination/job_loader.h>
 
 #include <sassafrasferry/coordination/job_rows.h>
 #include <sassafrasferry/coordination/timing.h>
@@ -22,11 +22,11 @@
 
 } // namespace
 
-JobBook::JobBook(scheduling::Scheduler &scheduler)
+JobLoader::JobLoader(scheduling::Scheduler &scheduler)
     : scheduler(scheduler)
 {}
 
-void JobBook::takeProgress(const std::vector<store::PartRow> &rows)
+void JobLoader::addProgress(const std::vector<store::PartRow> &rows)
 {
     for (const auto &row : rows) {
         messages::JobProgress progress;
@@ -37,7 +37,7 @@
     }
 }
 
-std::vector<std::string> JobBook::takeIntake(const std::vector<store::PartRow> &rows)
+std::vector<std::string> JobLoader::addIntake(const std::vector<store::PartRow> &rows)
 {
     std::vector<std::string> requested;
     for (const auto &row : rows) {
@@ -65,12 +65,12 @@
     return cancelled;
 }
 
-bool JobBook::isComplete() const
+bool JobLoader::isComplete() const
 {
     return this->complete;
 }
 
-void JobBook::addStored(const std::string &id, const std::string &bytes)
+void JobLoader::addStored(const std::string &id, const std::string &bytes)
 {
     messages::JobRecord record;
     if (!record.ParseFromString(bytes)) {
@@ -90,7 +90,7 @@
     this->scheduler.addJob(std::move(job));
 }
 
-void JobBook::addFinished(const std::string &id, scheduling::JobState state)
+void JobLoader::addFinished(const std::string &id, scheduling::JobState state)
 {
     auto job = std::make_unique<jobs::Job>(id, jobs::JobSpec{}, jobs::QueueTerms{}, bootNow());
     job->state = state;
--- a/packages/coordination/src/job_book_test.cpp
+++ b/packages/coordination/src/job_loader_test.cpp
@@ -1,4 +1,4 @@
-#include <sassafrasferry/coordination/job_book.h>
+#include <sassafrasferry/coordination/job_loader.h>
 #include <sassafrasferry/coordination/job_rows.h>
 #include <sassafrasferry/coordination/timing.h>
 #include <sassafrasferry/http/clock.h>
@@ -85,11 +85,11 @@
     const auto row = GENERATE(from_range(cases));
     CAPTURE(row.name);
     scheduling::Scheduler scheduler(scheduling::SchedulerTimes{}, 0, bootNow());
-    JobBook book(scheduler);
-    book.takeProgress(row.progress);
-    CHECK_FALSE(book.isComplete());
-    CHECK(book.takeIntake(row.intake) == row.cancelled);
-    CHECK(book.isComplete());
+    JobLoader loader(scheduler);
+    loader.addProgress(row.progress);
+    CHECK_FALSE(loader.isComplete());
+    CHECK(loader.addIntake(row.intake) == row.cancelled);
+    CHECK(loader.isComplete());
     CHECK(scheduler.stateOf("j") == row.state);
 }
 
--- a/packages/coordination/src/leadership_test.cpp
+++ b/packages/coordination/src/leadership_test.cpp
@@ -125,7 +125,7 @@
     times.renew = std::chrono::milliseconds(50);
     times.tick = std::chrono::milliseconds(10);
     Pair pair(times);
-    pair.store.isAway = true;
+    pair.store.refusesCommits = true;
     pair.runUntil([&] { return pair.first.sinceConfirmed() > std::chrono::milliseconds(100); });
     spawn(pair.context.get_executor(), "hand-over", [&]() -> Awaitable<void> {
         co_await pair.first.awaitConfirmation(bootNow() + std::chrono::seconds(60));
@@ -133,7 +133,7 @@
     });
     pair.context.run_for(std::chrono::milliseconds(300));
     CHECK(pair.first.isLeader());
-    pair.store.isAway = false;
+    pair.store.refusesCommits = false;
     pair.runUntil([&] { return pair.second.isLeader(); });
     CHECK(pair.taken.knowsPredecessorOrders);
 }
@@ -141,7 +141,7 @@
 TEST_CASE("A stopping leader does not wait for the store beyond its deadline")
 {
     Pair pair({});
-    pair.store.isAway = true;
+    pair.store.refusesCommits = true;
     pair.runUntil([&] { return pair.first.sinceConfirmed() > std::chrono::milliseconds(300); });
     spawn(pair.context.get_executor(), "hand-over", [&]() -> Awaitable<void> {
         co_await pair.first.awaitConfirmation(bootNow());
@@ -173,7 +173,7 @@
 TEST_CASE("Orders that the store does not record are not announced")
 {
     Pair pair({});
-    pair.store.isAway = true;
+    pair.store.refusesCommits = true;
     std::optional<bool> isAnnounced;
     const std::vector<std::string> vms{"vm-7"};
     spawn(pair.context.get_executor(), "announce",
--- a/packages/coordination/tests/memory_store.h
+++ b/packages/coordination/tests/memory_store.h
@@ -24,7 +24,7 @@
     ReadFault fault = ReadFault::None;
     std::string faultyTable;
     std::chrono::milliseconds delay{0}; ///< before each answer of `commit` and `scan`
-    bool isAway = false; ///< whether commits are refused
+    bool refusesCommits = false; ///< whether commits are refused
 
     http::Awaitable<store::PartCommit> commit(store::PartTransaction transaction)
     {
@@ -32,7 +32,7 @@
             co_await pause(this->delay);
         store::PartCommit commit;
         commit.state = store::CommitState::NotApplied;
-        if (this->isAway)
+        if (this->refusesCommits)
             co_return commit;
         commit.state = store::CommitState::Conflict;
         for (const auto &condition : transaction.conditions) {
