--- a/packages/coordination/include/sassafrasferry/coordination/caller_request.h
+++ b/packages/coordination/include/sassafrasferry/coordination/caller_request.h
@@ -13,8 +13,8 @@
 std::string_view hostOf(const http::Request &request);
 
 /// Latest time to answer so that the response reaches the caller while it still waits. The header
-/// `patienceHeader` holds how many milliseconds the caller waits.
-Instant deadlineOf(const http::Request &request, const std::string &patienceHeader);
+/// `deadlineHeader` holds how many milliseconds the caller waits.
+Instant deadlineOf(const http::Request &request, const std::string &deadlineHeader);
 
 bool isJobId(const std::string &text);
 
--- a/packages/coordination/include/sassafrasferry/coordination/fleet_controller.h
+++ b/packages/coordination/include/sassafrasferry/coordination/fleet_controller.h
@@ -27,7 +27,7 @@
         cloud.list()
         } -> std::same_as<Awaitable<absl::StatusOr<std::vector<scheduling::Vm>>>>;
     {
-        cloud.give(order, fence)
+        cloud.sendOrder(order, fence)
         } -> std::same_as<Awaitable<scheduling::FleetAnswer>>;
 };
 
@@ -199,7 +199,7 @@
     Awaitable<void> call(scheduling::FleetOrder order)
     {
         this->orderedAt[order.vm] = bootNow();
-        const auto answer = co_await this->cloud.give(order, this->options.fence);
+        const auto answer = co_await this->cloud.sendOrder(order, this->options.fence);
         this->orderedAt[order.vm] = bootNow();
         if (this->stopped)
             co_return;
--- a/packages/coordination/include/sassafrasferry/coordination/job_node.h
+++ b/packages/coordination/include/sassafrasferry/coordination/job_node.h
@@ -137,7 +137,7 @@
                 co_return co_await this->pending(route);
             co_return co_await this->state(job);
         case http::Verb::delete_:
-            co_return co_await this->cancel(job, deadlineOf(request, Platform::patienceHeader()));
+            co_return co_await this->cancel(job, deadlineOf(request, Platform::deadlineHeader()));
         default:
             co_return http::textResponse(http::Status::method_not_allowed, "not a method here\n");
         }
@@ -171,7 +171,7 @@
         record.set_accepted_milliseconds(http::unixNow());
         record.set_configuration(this->configuration().version);
         const auto begin = bootNow();
-        const auto deadline = deadlineOf(request, Platform::patienceHeader());
+        const auto deadline = deadlineOf(request, Platform::deadlineHeader());
         const auto bytes = record.SerializeAsString();
         const auto askPeer = [this, deadline](std::string job, std::string record) {
             return this->handInThroughPeer(std::move(job), std::move(record), deadline);
--- a/packages/coordination/src/caller_request.cpp
+++ b/packages/coordination/src/caller_request.cpp
@@ -27,10 +27,10 @@
     return host.substr(0, host.find(':'));
 }
 
-Instant deadlineOf(const http::Request &request, const std::string &patienceHeader)
+Instant deadlineOf(const http::Request &request, const std::string &deadlineHeader)
 {
     std::int64_t patience = defaultPatience.count();
-    const auto text = http::fieldOf(request, patienceHeader);
+    const auto text = http::fieldOf(request, deadlineHeader);
     if (!text.empty() && !absl::SimpleAtoi(text, &patience))
         patience = defaultPatience.count();
     return bootNow() + std::chrono::milliseconds(patience) - answerMargin;
--- a/packages/coordination/src/fleet_controller_test.cpp
+++ b/packages/coordination/src/fleet_controller_test.cpp
@@ -28,7 +28,7 @@
             {vm, "s", scheduling::VmState::Up, "a", "r", {4000, 1000, 0}, workerId}};
     }
 
-    Awaitable<scheduling::FleetAnswer> give(scheduling::FleetOrder, std::int64_t)
+    Awaitable<scheduling::FleetAnswer> sendOrder(scheduling::FleetOrder, std::int64_t)
     {
         ++this->orders;
         co_return this->answer;
--- a/packages/coordination/src/leader_test.cpp
+++ b/packages/coordination/src/leader_test.cpp
@@ -48,7 +48,7 @@
         co_return this->vms;
     }
 
-    Awaitable<scheduling::FleetAnswer> give(scheduling::FleetOrder, std::int64_t)
+    Awaitable<scheduling::FleetAnswer> sendOrder(scheduling::FleetOrder, std::int64_t)
     {
         co_return scheduling::FleetAnswer{};
     }
