--- a/packages/fleet/include/sassafrasferry/fleet/fleet_rows.h
+++ b/packages/fleet/include/sassafrasferry/fleet/fleet_rows.h
@@ -1,5 +1,5 @@
-// Rows about VMs that are not simply in service, about waves, and about budgets. A VM without a row
-// is in service in the pool that the document names.
+// Stored rows of VMs, waves and availability budgets. A VM without a row is in service in the pool
+// that the document names.
 #pragma once
 
 #include <sassafrasferry/model/names.h>
@@ -15,13 +15,13 @@
 using store::Json;
 using store::RowKey;
 
-/// Where a VM stands that is not in service.
+/// The state of a VM that has a row.
 enum class VmState {
-    Draining, ///< no new work; the platform lets it finish what it has
+    Draining, ///< gets no new work; the platform lets it finish its current work
     InMaintenance,
-    BackFailing, ///< back from maintenance, and its check fails
-    Arriving, ///< lent, or back: belongs to its next pool, and waits until every entry VM knows
-    Lent, ///< in service in another pool than the document's
+    BackFailing, ///< maintenance is done, but the health check of the VM fails
+    Arriving, ///< has joined its next pool; waits until every entry VM has read the row
+    Lent, ///< in service in a pool other than the document's
 };
 
 constexpr auto enumNames(VmState)
@@ -33,30 +33,30 @@
                       EnumName{VmState::Arriving, "arriving"}, EnumName{VmState::Lent, "lent"}};
 }
 
-/// A VM that is not in service in the pool of the document.
+/// The row of a VM that is not in service in the pool that the document names.
 ///
-/// A loan goes Draining (target: the borrower) > Arriving > Lent > Draining (target: home) >
-/// Arriving > no row. The pool changes when the VM is empty, and only then.
+/// States of a loan: Draining (target: the borrower) > Arriving > Lent > Draining (target: home) >
+/// Arriving > no row. The VM changes its pool only when it is empty.
 struct VmRow
 {
     std::string name;
-    std::string pool; ///< the one pool it belongs to until this row is gone
-    std::string target; ///< a move or loan: the pool it goes to next; empty: none
-    std::string home; ///< a loan: the pool that the document names; else empty
-    std::string wave; ///< maintenance, or a loan for a wave: the wave; empty: a loan for demand
+    std::string pool; ///< the only pool that the VM belongs to while this row exists
+    std::string target; ///< the next pool of a move or loan; empty: none
+    std::string home; ///< the document's pool of a lent VM; empty: not a loan
+    std::string wave; ///< the wave that took or borrowed the VM; empty: a move or a loan for demand
     VmState state = VmState::Draining;
-    std::int64_t order = 0; ///< sent with every order to the platform, which ignores older ones
-    std::int64_t revision = 0; ///< the document revision that it was decided by
+    std::int64_t order = 0; ///< fencing token of platform orders; the platform ignores lower ones
+    std::int64_t revision = 0; ///< the document revision that the decision was based on
     std::int64_t version = store::absent;
 
     bool isLoan() const;
-    /// A loan: the pool that has the VM or awaits it; empty once it is back at home.
+    /// The pool that borrows the lent VM; empty once the VM is back in its home pool.
     const std::string &borrower() const;
-    /// True if it goes back, or is about to be in service at home.
+    /// True while a lent VM drains to return, or arrives in its home pool.
     bool isReturning() const;
 };
 
-/// Where a wave stands.
+/// The state of a maintenance wave.
 enum class WaveState { Running, Halted, Finished };
 
 constexpr auto enumNames(WaveState)
@@ -72,22 +72,22 @@
 {
     std::string name;
     WaveState state = WaveState::Running;
-    std::string reason; ///< why it waits or has halted
+    std::string reason; ///< why the wave waits or has halted
     std::vector<std::string> done; ///< VMs that are back in service
     std::int64_t startedAt = 0; ///< Unix milliseconds
     std::int64_t version = store::absent;
 };
 
-/// What a pool's availability budget is charged with.
+/// The VMs that a pool's availability budget accounts for.
 struct BudgetRow
 {
     std::string pool;
-    std::vector<std::string> out; ///< VMs of the pool that are out on permits, lent ones included
+    std::vector<std::string> out; ///< VMs of the pool that are out by permit, including lent ones
     std::vector<std::string> borrowed; ///< VMs lent to the pool and in service there
     std::int64_t version = store::absent;
 };
 
-/// All rows of the fleet, as read.
+/// All fleet rows, as read from the table service.
 struct FleetRows
 {
     std::vector<VmRow> vms;
@@ -95,11 +95,12 @@
     std::vector<BudgetRow> budgets;
 
     const VmRow *vm(const std::string &name) const;
-    /// The budget of a pool; one of version `absent` if nothing is out.
+    /// The budget of a pool; an empty one of version `absent` if the pool has no row.
     BudgetRow budget(const std::string &pool) const;
 };
 
-/// Changes with every write of a fleet row, so that one small read tells whether any changed.
+/// The row that every write of a fleet row also updates, so that one small read shows whether any
+/// fleet row has changed.
 RowKey fleetHeadKey();
 RowKey vmKey(const std::string &name);
 RowKey waveKey(const std::string &name);
--- a/packages/fleet/include/sassafrasferry/fleet/fleet_store.h
+++ b/packages/fleet/include/sassafrasferry/fleet/fleet_store.h
@@ -1,5 +1,5 @@
-// Reads and changes fleet rows. Every change is one transaction that carries the control lease's
-// fence, and the version of each row it rests on.
+// Reads and changes fleet rows. Every change by the control process is one transaction,
+// conditional on the fence of the control lease and on the version of each row it depends on.
 #pragma once
 
 #include <sassafrasferry/fleet/fleet_rows.h>
@@ -32,20 +32,20 @@
                 co_return part->status();
         }
         absl::Status status;
-        take(*vms, rows.vms, vmFrom, status);
-        take(*waves, rows.waves, waveFrom, status);
-        take(*budgets, rows.budgets, budgetFrom, status);
+        parseRows(*vms, rows.vms, vmFrom, status);
+        parseRows(*waves, rows.waves, waveFrom, status);
+        parseRows(*budgets, rows.budgets, budgetFrom, status);
         if (!status.ok())
             co_return status;
         co_return rows;
     }
 
-    /// Takes a VM out of service for a wave or a loan: the permit. Fails in a conflict if the
-    /// budget row has changed since it was read, or the VM has a row already.
+    /// Permits a wave or a loan to take a VM out of service. Ends in a conflict if the budget row
+    /// has changed since it was read, or the VM already has a row.
     Awaitable<store::Commit> permit(VmRow vm, BudgetRow budget, store::Condition fence)
     {
         budget.out.push_back(vm.name);
-        store::Transaction transaction = fenced(fence);
+        store::Transaction transaction = fencedTransaction(fence);
         transaction.conditions.push_back({vmKey(vm.name), store::absent});
         transaction.conditions.push_back({budgetKey(budget.pool), budget.version});
         transaction.puts.push_back({vmKey(vm.name), toJson(vm)});
@@ -53,24 +53,24 @@
         return this->tables.commit(std::move(transaction));
     }
 
-    /// Writes a VM's next state.
-    Awaitable<store::Commit> advance(VmRow vm, store::Condition fence)
+    /// Writes the next state of a VM.
+    Awaitable<store::Commit> updateVm(VmRow vm, store::Condition fence)
     {
-        store::Transaction transaction = fenced(fence);
+        store::Transaction transaction = fencedTransaction(fence);
         transaction.conditions.push_back({vmKey(vm.name), vm.version});
         transaction.puts.push_back({vmKey(vm.name), toJson(vm)});
         return this->tables.commit(std::move(transaction));
     }
 
-    /// A lent VM is in service with its borrower, or leaves it: its next state, and the borrower's
-    /// budget with the VM among the borrowed or not. On the budget's version, since a permit that
-    /// rests on the borrowed VM and is still on its way must not pass once the VM goes.
+    /// Writes the next state of a lent VM that enters or leaves service in the borrowing pool, and
+    /// adds it to or removes it from that pool's budget. Updates the budget row, so that a delayed
+    /// permit that counts on the borrowed VM conflicts once the VM leaves.
     Awaitable<store::Commit> setBorrowed(VmRow vm, BudgetRow borrower, store::Condition fence)
     {
         std::erase(borrower.borrowed, vm.name);
         if (vm.state == VmState::Lent)
             borrower.borrowed.push_back(vm.name);
-        store::Transaction transaction = fenced(fence);
+        store::Transaction transaction = fencedTransaction(fence);
         transaction.conditions.push_back({vmKey(vm.name), vm.version});
         transaction.conditions.push_back({budgetKey(borrower.pool), borrower.version});
         transaction.puts.push_back({vmKey(vm.name), toJson(vm)});
@@ -78,11 +78,11 @@
         return this->tables.commit(std::move(transaction));
     }
 
-    /// A VM that the document no longer has: its row goes, and so do its names in the budgets.
-    Awaitable<store::Commit> forget(VmRow vm, std::vector<BudgetRow> budgets,
-                                    store::Condition fence)
+    /// Deletes the row and the budget entries of a VM that the document no longer has.
+    Awaitable<store::Commit> removeVm(VmRow vm, std::vector<BudgetRow> budgets,
+                                      store::Condition fence)
     {
-        store::Transaction transaction = fenced(fence);
+        store::Transaction transaction = fencedTransaction(fence);
         transaction.conditions.push_back({vmKey(vm.name), vm.version});
         transaction.deletes.push_back(vmKey(vm.name));
         for (auto &budget : budgets) {
@@ -96,12 +96,12 @@
         return this->tables.commit(std::move(transaction));
     }
 
-    /// A VM is in service again: its row goes, the budget gets its permit back, and its wave, if
-    /// any, counts it as done.
-    Awaitable<store::Commit> returned(VmRow vm, BudgetRow budget, const WaveRow *wave,
-                                      store::Condition fence)
+    /// Returns a VM to service: deletes its row, releases its permit from the budget, and records
+    /// it as done in its wave, if any.
+    Awaitable<store::Commit> returnToService(VmRow vm, BudgetRow budget, const WaveRow *wave,
+                                             store::Condition fence)
     {
-        store::Transaction transaction = fenced(fence);
+        store::Transaction transaction = fencedTransaction(fence);
         transaction.conditions.push_back({vmKey(vm.name), vm.version});
         transaction.deletes.push_back(vmKey(vm.name));
         if (std::erase(budget.out, vm.name) > 0) {
@@ -117,36 +117,36 @@
         return this->tables.commit(std::move(transaction));
     }
 
-    /// Writes a wave's state. Operators' orders carry no fence.
+    /// Writes the state of a wave. `fence` is null for changes made by operators.
     Awaitable<store::Commit> setWave(WaveRow wave, const store::Condition *fence)
     {
         store::Transaction transaction;
         if (fence)
-            transaction = fenced(*fence);
+            transaction = fencedTransaction(*fence);
         else
-            transaction.puts.push_back(bump());
+            transaction.puts.push_back(headUpdate());
         transaction.conditions.push_back({waveKey(wave.name), wave.version});
         transaction.puts.push_back({waveKey(wave.name), toJson(wave)});
         return this->tables.commit(std::move(transaction));
     }
 
 private:
-    static store::Put bump()
+    static store::Put headUpdate()
     {
         return {fleetHeadKey(), Json::object()};
     }
 
-    static store::Transaction fenced(const store::Condition &fence)
+    static store::Transaction fencedTransaction(const store::Condition &fence)
     {
         store::Transaction transaction;
         transaction.conditions.push_back(fence);
-        transaction.puts.push_back(bump());
+        transaction.puts.push_back(headUpdate());
         return transaction;
     }
 
     template<typename T, typename From>
-    static void take(const std::vector<store::Row> &rows, std::vector<T> &into, From from,
-                     absl::Status &status)
+    static void parseRows(const std::vector<store::Row> &rows, std::vector<T> &into, From from,
+                          absl::Status &status)
     {
         for (const auto &row : rows) {
             auto item = from(row);
--- a/packages/fleet/include/sassafrasferry/fleet/fleet_view.h
+++ b/packages/fleet/include/sassafrasferry/fleet/fleet_view.h
@@ -1,4 +1,4 @@
-// What a step of the fleet's control knows of the world around it, and what it says that it did.
+// Input of a fleet control step, and the decisions that the step logs.
 #pragma once
 
 #include <sassafrasferry/model/document.h>
@@ -13,20 +13,20 @@
 
 namespace sassafrasferry::fleet {
 
-/// What a step knows of the world around it.
+/// The observed state that a control step decides on.
 struct FleetView
 {
     const model::Document &document;
-    std::set<std::string> failed; ///< VMs out of service that no row took out
-    std::int64_t revisionEverywhere = 0; ///< the lowest revision of any live entry VM
-    std::int64_t now = 0; ///< Unix milliseconds; numbers orders
-    /// The lowest version of the fleet's head row that any live entry VM has read rows by.
+    std::set<std::string> failed; ///< VMs that are out of service without a row
+    std::int64_t revisionEverywhere = 0; ///< the lowest document revision of any live entry VM
+    std::int64_t now = 0; ///< Unix milliseconds; also the fencing token of new platform orders
+    /// The lowest version of the fleet head row that any live entry VM has read.
     std::int64_t fleetVersionEverywhere = std::numeric_limits<std::int64_t>::max();
-    std::set<std::string> busy{}; ///< VMs out of service on which an entry VM still has requests
-    std::vector<policy::PoolWish> wishes{}; ///< of pools whose demand asks for VMs, or for fewer
+    std::set<std::string> busy{}; ///< VMs out of service that still have requests from an entry VM
+    std::vector<policy::PoolWish> wishes{}; ///< of pools whose demand calls for more or fewer VMs
 };
 
-/// A decision, for the log.
+/// A decision of a control step, to be logged.
 struct FleetDecision
 {
     std::string event;
--- a/packages/fleet/include/sassafrasferry/fleet/move_rows.h
+++ b/packages/fleet/include/sassafrasferry/fleet/move_rows.h
@@ -1,4 +1,4 @@
-// Moves of VMs between pools, as a change of the document asks for them.
+// Finds the VMs that a document change moves between pools, and builds their rows.
 #pragma once
 
 #include <sassafrasferry/fleet/fleet_rows.h>
@@ -6,7 +6,7 @@
 
 namespace sassafrasferry::fleet {
 
-/// A VM that one document has in another pool than the other does.
+/// A VM whose pool differs between two documents.
 struct VmMove
 {
     std::string vm;
@@ -14,12 +14,12 @@
     std::string to;
 };
 
-/// The VMs that a change moves.
+/// The VMs that a document change moves to another pool.
 std::vector<VmMove> movesBetween(const model::Document &current, const model::Document &changed);
 
-/// The rows by which a change takes the VMs it moves out of service. They are written in the
-/// change's own transaction: at no moment does a VM serve in two pools, since it belongs to the old
-/// one until it is empty. Entry VMs read them with every new revision. `order` numbers the orders
+/// The rows that take the moved VMs out of service. They must be written in the transaction of the
+/// document change: a VM then belongs to its old pool until it is empty, and never serves in two
+/// pools. Entry VMs read these rows with every new revision. `order` is the fencing token of orders
 /// to the platform.
 std::vector<store::Put> moveRows(const model::Document &current, const model::Document &changed,
                                  std::int64_t order);
--- a/packages/fleet/include/sassafrasferry/fleet/pool_view.h
+++ b/packages/fleet/include/sassafrasferry/fleet/pool_view.h
@@ -1,4 +1,4 @@
-// Pools as the planners see them: from the document, the rows and what has failed.
+// Builds the planners' input for a pool from the document, the fleet rows and the failed VMs.
 #pragma once
 
 #include <sassafrasferry/fleet/fleet_rows.h>
@@ -7,10 +7,10 @@
 
 namespace sassafrasferry::fleet {
 
-/// A pool outside any wave: its VMs are pending or out.
+/// The state of a pool outside any wave; no VM counts as done.
 policy::WavePool poolView(const model::Pool &pool, const FleetRows &rows, const FleetView &view);
 
-/// A pool in a wave: VMs that the wave has maintained are done.
+/// The state of a pool in a wave; VMs that the wave has maintained count as done.
 policy::WavePool poolView(const model::Pool &pool, const model::Wave &wave, const WaveRow &row,
                           const FleetRows &rows, const FleetView &view);
 
--- a/packages/fleet/include/sassafrasferry/fleet/vm_control.h
+++ b/packages/fleet/include/sassafrasferry/fleet/vm_control.h
@@ -1,4 +1,4 @@
-// What the platform does to VMs on order: drain, maintain, resume.
+// The interface for orders to the platform: drain, maintain and resume a VM.
 #pragma once
 
 #include <sassafrasferry/model/names.h>
@@ -13,7 +13,7 @@
 
 using store::Awaitable;
 
-/// What the platform says a VM is at.
+/// The phase of a VM, as reported by the platform.
 enum class VmPhase { Serving, Draining, Empty, Maintaining };
 
 constexpr auto enumNames(VmPhase)
@@ -24,18 +24,17 @@
                       EnumName{VmPhase::Maintaining, "maintaining"}};
 }
 
-/// The platform's word on a VM.
+/// The platform's report on a VM.
 struct VmReport
 {
     VmPhase phase = VmPhase::Serving;
-    std::int64_t drainedOrder = 0; ///< the newest drain order it has taken
-    std::int64_t maintainedOrder = 0; ///< the newest maintain order it has carried out
-    bool isFailing = false; ///< its check fails
+    std::int64_t drainedOrder = 0; ///< the newest drain order that the platform has accepted
+    std::int64_t maintainedOrder = 0; ///< the newest maintain order that was completed
+    bool isFailing = false; ///< the health check of the VM fails
 };
 
-/// Orders to the platform. Each may be given many times: an order that is not newer than the last
-/// one of its kind changes nothing, so neither a repetition nor a late one from a process that was
-/// frozen does harm.
+/// Orders to the platform. Orders are idempotent and fenced: one that is not newer than the last of
+/// its kind has no effect, so a retry, or a late order from a process that was paused, is harmless.
 template<typename T>
 concept VmControl = requires(T &control, std::string vm, std::int64_t order)
 {
--- a/packages/fleet/include/sassafrasferry/fleet/vm_control_client.h
+++ b/packages/fleet/include/sassafrasferry/fleet/vm_control_client.h
@@ -1,4 +1,4 @@
-// Orders to the platform over HTTP.
+// HTTP client for orders to the platform.
 #pragma once
 
 #include <sassafrasferry/fleet/vm_control.h>
@@ -6,7 +6,7 @@
 
 namespace sassafrasferry::fleet {
 
-/// Fulfils `VmControl`; for use on one executor.
+/// Implements `VmControl`. Not thread-safe: use it on one executor.
 class VmControlClient
 {
 public:
@@ -19,7 +19,7 @@
     Awaitable<absl::Status> resume(std::string vm, std::int64_t order);
 
 private:
-    Awaitable<absl::Status> give(std::string vm, std::string what, std::int64_t order);
+    Awaitable<absl::Status> sendOrder(std::string vm, std::string what, std::int64_t order);
 
     http::Client client;
     std::chrono::milliseconds timeout;
--- a/packages/fleet/include/sassafrasferry/fleet/vm_lender.h
+++ b/packages/fleet/include/sassafrasferry/fleet/vm_lender.h
@@ -1,4 +1,4 @@
-// Lends VMs of spare pools, for waves and for demand, and takes them back.
+// Lends VMs of spare pools to other pools, for waves and for demand, and returns them.
 #pragma once
 
 #include <sassafrasferry/fleet/fleet_store.h>
@@ -10,12 +10,12 @@
 
 namespace sassafrasferry::fleet {
 
-/// Decides which loans there should be, and starts or ends some of them. Keeps nothing between
-/// steps.
+/// Reconciles loans with the current needs: each step starts or ends some of them. Keeps no state
+/// between steps.
 ///
-/// A pool borrows from the spare pools that its services overflow to. A loan is charged to the
-/// spare pool's availability budget from its first row to its last, by the same permit as a wave's
-/// drain, so that neither can overdraw what the other has left.
+/// A pool borrows from the spare pools that its services overflow to. A loan counts against the
+/// availability budget of the spare pool for as long as its row exists. It takes the same permit as
+/// a drain for a wave, so that loans and waves together cannot exceed the budget.
 template<store::TableService Tables>
 class VmLender
 {
@@ -25,26 +25,26 @@
         , log(log)
     {}
 
-    /// One step; true if it may have changed any row, so that `rows` no longer holds.
+    /// Runs one step. Returns true if it may have changed rows, so that `rows` may be stale.
     Awaitable<bool> step(const FleetRows &rows, const FleetView &view, store::Condition fence)
     {
         const auto orders = ordersOf(rows, view);
         for (const auto &order : orders)
-            co_await this->carryOut(order, rows, view, fence);
+            co_await this->execute(order, rows, view, fence);
         co_return !orders.empty();
     }
 
 private:
-    // The loans that a pool has or awaits for one purpose, and how many it should have.
+    // The number of loans that a pool should have for one purpose.
     struct Need
     {
         std::string pool;
-        std::string wave; // empty: for demand
+        std::string wave; // empty: the loans are for demand
         std::string reason;
         std::size_t wanted = 0;
     };
 
-    // A VM to lend or to take back.
+    // A VM to lend or to return.
     struct Order
     {
         std::string vm;
@@ -125,7 +125,7 @@
             for (const auto &wish : view.wishes) {
                 if (wish.pool != pool.name)
                     continue;
-                // VMs on their way are not in the wish's capacity yet.
+                // The wish does not yet include the capacity of VMs that are about to arrive.
                 const auto coming = static_cast<std::size_t>(
                     std::count_if(loans.begin(), loans.end(),
                                   [](const VmRow *vm) { return vm->state != VmState::Lent; }));
@@ -149,8 +149,8 @@
         return needs;
     }
 
-    // At most one order for each spare pool and one for each borrower, since each changes what the
-    // next would rest on.
+    // At most one order per pool, lending or borrowing: each order changes the rows that another
+    // order for the same pool would be based on.
     static std::vector<Order> ordersOf(const FleetRows &rows, const FleetView &view)
     {
         const auto needs = needsOf(rows, view);
@@ -185,7 +185,7 @@
         return std::nullopt;
     }
 
-    // A loan that nothing needs any more, or whose VM has failed.
+    // The order to return a VM whose loan is no longer needed, or which has failed.
     static std::optional<Order> returnOf(const VmRow &vm, const std::vector<Need> &needs,
                                          const FleetRows &rows, const FleetView &view)
     {
@@ -200,13 +200,13 @@
         const auto *borrower = view.document.pool(vm.pool);
         if (borrower && !hasFailed && !policy::mayGiveBack(poolView(*borrower, rows, view)))
             return std::nullopt;
-        return Order{vm.name, vm.pool, vm.home, vm.wave, hasFailed ? "has failed" : "is not needed",
+        return Order{vm.name, vm.pool, vm.home, vm.wave, hasFailed ? "VM has failed" : "not needed",
                      true};
     }
 
-    // What fails is decided again by the next step, on what then stands.
-    Awaitable<void> carryOut(Order order, const FleetRows &rows, const FleetView &view,
-                             store::Condition fence)
+    // If the commit fails, the next step decides again from fresh rows.
+    Awaitable<void> execute(Order order, const FleetRows &rows, const FleetView &view,
+                            store::Condition fence)
     {
         VmRow vm;
         if (const auto *row = rows.vm(order.vm))
--- a/packages/fleet/include/sassafrasferry/fleet/vm_mover.h
+++ b/packages/fleet/include/sassafrasferry/fleet/vm_mover.h
@@ -1,4 +1,4 @@
-// Takes each VM that has a row one step on: through maintenance, a move, a loan or its return.
+// Advances each VM that has a row through maintenance, a move, a loan or a return.
 #pragma once
 
 #include <sassafrasferry/fleet/fleet_store.h>
@@ -7,10 +7,11 @@
 
 namespace sassafrasferry::fleet {
 
-/// Moves VMs on. Keeps nothing between steps.
+/// The state machine of VM rows. Keeps no state between steps.
 ///
-/// A VM is drained by the platform only when every entry VM knows that it is out: one that does not
-/// would go on sending to it, and the platform's "empty" would be true for a moment only.
+/// The platform is told to drain a VM only when every entry VM knows that it is out of service. An
+/// entry VM that does not know would keep sending requests to the VM, and the "empty" that the
+/// platform reports would soon be wrong.
 template<store::TableService Tables, VmControl Control>
 class VmMover
 {
@@ -21,11 +22,11 @@
         , log(log)
     {}
 
-    /// What is due for a VM. `fence`: the control lease's condition.
+    /// Advances a VM by at most one state. `fence`: the condition of the control lease.
     Awaitable<void> advance(VmRow vm, const FleetView &view, store::Condition fence)
     {
-        if (isGone(vm, view)) {
-            co_await this->forget(vm, fence);
+        if (isRemovedFromDocument(vm, view)) {
+            co_await this->removeVm(vm, fence);
             co_return;
         }
         if (vm.state == VmState::Lent)
@@ -50,8 +51,8 @@
     }
 
 private:
-    // Only a document that is not older than the row can tell.
-    static bool isGone(const VmRow &vm, const FleetView &view)
+    // A document older than the row does not show whether the VM has been removed.
+    static bool isRemovedFromDocument(const VmRow &vm, const FleetView &view)
     {
         if (view.document.revision < vm.revision)
             return false;
@@ -64,23 +65,23 @@
         return true;
     }
 
-    static bool isKnown(const VmRow &vm, const FleetView &view)
+    static bool isKnownToAll(const VmRow &vm, const FleetView &view)
     {
         return view.fleetVersionEverywhere >= vm.version;
     }
 
-    Awaitable<void> forget(VmRow vm, store::Condition fence)
+    Awaitable<void> removeVm(VmRow vm, store::Condition fence)
     {
         const auto fresh = co_await this->store.load();
         if (!fresh.ok())
             co_return;
-        const auto commit = co_await this->store.forget(vm, fresh->budgets, fence);
+        const auto commit = co_await this->store.removeVm(vm, fresh->budgets, fence);
         if (commit.state == store::CommitState::Committed)
-            this->log({"vm-gone", vm.name, "the document no longer has it"});
+            this->log({"vm-gone", vm.name, "removed: the document no longer has the VM"});
     }
 
-    // An order that failed is given again by the next step.
-    void noteOrder(const std::string &vm, const absl::Status &status)
+    // Logs an order that failed; the next step sends it again.
+    void logFailedOrder(const std::string &vm, const absl::Status &status)
     {
         if (!status.ok())
             this->log({"order-failed", vm, std::string(status.message())});
@@ -89,10 +90,10 @@
     Awaitable<void> advanceDraining(VmRow vm, const FleetView &view, VmReport report,
                                     store::Condition fence)
     {
-        if (!isKnown(vm, view) || view.busy.contains(vm.name))
+        if (!isKnownToAll(vm, view) || view.busy.contains(vm.name))
             co_return;
         if (report.drainedOrder < vm.order) {
-            this->noteOrder(vm.name, co_await this->control.drain(vm.name, vm.order));
+            this->logFailedOrder(vm.name, co_await this->control.drain(vm.name, vm.order));
             co_return;
         }
         if (report.phase == VmPhase::Draining)
@@ -100,7 +101,7 @@
         if (vm.isLoan())
             co_await this->changePool(vm, report, fence);
         else if (!vm.target.empty())
-            co_await this->endMove(vm, view, report, fence);
+            co_await this->completeMove(vm, view, report, fence);
         else
             co_await this->beginMaintenance(vm, fence);
     }
@@ -108,22 +109,22 @@
     Awaitable<void> beginMaintenance(VmRow vm, store::Condition fence)
     {
         vm.state = VmState::InMaintenance;
-        const auto commit = co_await this->store.advance(vm, fence);
+        const auto commit = co_await this->store.updateVm(vm, fence);
         if (commit.state == store::CommitState::Committed)
-            this->noteOrder(vm.name, co_await this->control.maintain(vm.name, vm.order));
+            this->logFailedOrder(vm.name, co_await this->control.maintain(vm.name, vm.order));
     }
 
-    // A move that a change of the document asked for.
-    Awaitable<void> endMove(VmRow vm, const FleetView &view, VmReport report,
-                            store::Condition fence)
+    // Completes a move that a document change asked for.
+    Awaitable<void> completeMove(VmRow vm, const FleetView &view, VmReport report,
+                                 store::Condition fence)
     {
-        // An entry VM that has not adopted the change yet would still use it in the old pool.
+        // An entry VM that has not adopted the change yet would still use the VM in the old pool.
         if (view.revisionEverywhere < vm.revision)
             co_return;
         if (report.phase == VmPhase::Empty)
-            this->noteOrder(vm.name, co_await this->control.resume(vm.name, vm.order));
+            this->logFailedOrder(vm.name, co_await this->control.resume(vm.name, vm.order));
         if (report.phase == VmPhase::Serving)
-            co_await this->giveBack(vm, "moved to " + vm.target, fence);
+            co_await this->returnToService(vm, "moved to pool " + vm.target, fence);
     }
 
     Awaitable<void> changePool(VmRow vm, VmReport report, store::Condition fence)
@@ -132,23 +133,23 @@
             co_return;
         vm.pool = std::exchange(vm.target, std::string());
         vm.state = VmState::Arriving;
-        const auto commit = co_await this->store.advance(vm, fence);
+        const auto commit = co_await this->store.updateVm(vm, fence);
         if (commit.state == store::CommitState::Committed)
-            this->log({"vm-changed-pool", vm.name, "is empty, now of " + vm.pool});
+            this->log({"vm-changed-pool", vm.name, "drained, and moved to pool " + vm.pool});
     }
 
     Awaitable<void> advanceArriving(VmRow vm, const FleetView &view, VmReport report,
                                     store::Condition fence)
     {
-        // An entry VM that does not know yet would use it in the pool that it has left.
-        if (!isKnown(vm, view))
+        // An entry VM with older rows would still use the VM in the pool that it has left.
+        if (!isKnownToAll(vm, view))
             co_return;
         if (report.phase == VmPhase::Empty)
-            this->noteOrder(vm.name, co_await this->control.resume(vm.name, vm.order));
+            this->logFailedOrder(vm.name, co_await this->control.resume(vm.name, vm.order));
         if (report.phase != VmPhase::Serving)
             co_return;
         if (vm.pool == vm.home) {
-            co_await this->giveBack(vm, "back from its loan", fence);
+            co_await this->returnToService(vm, "returned from its loan", fence);
             co_return;
         }
         const auto fresh = co_await this->store.load();
@@ -157,31 +158,31 @@
         vm.state = VmState::Lent;
         const auto commit = co_await this->store.setBorrowed(vm, fresh->budget(vm.pool), fence);
         if (commit.state == store::CommitState::Committed)
-            this->log({"vm-lent", vm.name, "serves in " + vm.pool});
+            this->log({"vm-lent", vm.name, "in service in pool " + vm.pool});
     }
 
     Awaitable<void> advanceMaintenance(VmRow vm, VmReport report, store::Condition fence)
     {
         if (report.maintainedOrder < vm.order) {
             if (report.phase != VmPhase::Maintaining)
-                this->noteOrder(vm.name, co_await this->control.maintain(vm.name, vm.order));
+                this->logFailedOrder(vm.name, co_await this->control.maintain(vm.name, vm.order));
             co_return;
         }
         if (report.phase != VmPhase::Serving)
             co_return;
         if (!report.isFailing) {
-            co_await this->giveBack(vm, "maintained", fence);
+            co_await this->returnToService(vm, "maintained", fence);
         } else if (vm.state != VmState::BackFailing) {
             vm.state = VmState::BackFailing;
-            const auto commit = co_await this->store.advance(vm, fence);
+            const auto commit = co_await this->store.updateVm(vm, fence);
             if (commit.state == store::CommitState::Committed)
-                this->log({"vm-back-failing", vm.name, "its check fails after maintenance"});
+                this->log({"vm-back-failing", vm.name, "the health check fails after maintenance"});
         }
     }
 
-    Awaitable<void> giveBack(VmRow vm, std::string why, store::Condition fence)
+    Awaitable<void> returnToService(VmRow vm, std::string why, store::Condition fence)
     {
-        // Rows may have changed since they were read, by the returns before this one.
+        // Earlier returns in the same step may have changed the rows.
         const auto fresh = co_await this->store.load();
         if (!fresh.ok())
             co_return;
@@ -191,7 +192,7 @@
                 wave = &row;
         }
         const auto budget = fresh->budget(vm.pool);
-        const auto commit = co_await this->store.returned(vm, budget, wave, fence);
+        const auto commit = co_await this->store.returnToService(vm, budget, wave, fence);
         if (commit.state == store::CommitState::Committed)
             this->log({"vm-in-service", vm.name, why});
     }
--- a/packages/fleet/include/sassafrasferry/fleet/wave_runner.h
+++ b/packages/fleet/include/sassafrasferry/fleet/wave_runner.h
@@ -1,6 +1,6 @@
-// Carries waves, moves and loans on, one step at a time. It keeps nothing between steps: each reads
-// the rows and the platform's word, and does what is due, so that whoever holds the control lease
-// next goes on where the last holder stopped.
+// Runs waves, moves and loans, one step at a time. It keeps no state between steps: each step reads
+// the rows and the platform's reports and does what is due, so that the next holder of the control
+// lease continues where the last one stopped.
 #pragma once
 
 #include <sassafrasferry/fleet/fleet_store.h>
@@ -13,7 +13,7 @@
 
 namespace sassafrasferry::fleet {
 
-/// Runs waves, moves and loans.
+/// Reconciles the fleet with its waves, moves and loans.
 template<store::TableService Tables, VmControl Control>
 class WaveRunner
 {
@@ -25,10 +25,10 @@
         , lender(this->store, this->log)
     {}
 
-    WaveRunner(const WaveRunner &) = delete; // its parts refer to each other
+    WaveRunner(const WaveRunner &) = delete; // members hold references to other members
     WaveRunner &operator=(const WaveRunner &) = delete;
 
-    /// One step. `fence`: the control lease's condition.
+    /// Runs one step. `fence`: the condition of the control lease.
     Awaitable<absl::Status> step(const FleetView &view, store::Condition fence)
     {
         auto rows = co_await this->store.load();
@@ -36,12 +36,12 @@
             co_return rows.status();
         for (const auto &vm : rows->vms)
             co_await this->mover.advance(vm, view, fence);
-        // What has just returned changed its rows; the next plan must rest on them.
+        // VMs that have just returned changed rows that the plans below depend on.
         rows = co_await this->store.load();
         if (!rows.ok())
             co_return rows.status();
         if (co_await this->lender.step(*rows, view, fence))
-            co_return absl::OkStatus(); // waves are planned on what then stands, by the next step
+            co_return absl::OkStatus(); // the next step plans the waves from the changed rows
         for (const auto &wave : rows->waves) {
             if (wave.state == WaveState::Running)
                 co_await this->plan(wave, *rows, view, fence);
@@ -99,7 +99,7 @@
             vm.revision = view.document.revision;
             const auto commit = co_await this->store.permit(vm, budget, fence);
             if (commit.state != store::CommitState::Committed)
-                co_return; // the next step reads what stands
+                co_return; // the next step plans from fresh rows
             budget.out.push_back(name);
             budget.version = commit.version;
             this->log({"drain", name, "wave " + wave.name});
--- a/packages/fleet/src/fleet_rows.cpp
+++ b/packages/fleet/src/fleet_rows.cpp
@@ -1,4 +1,4 @@
-// Fleet rows to JSON and back.
+// Conversion of fleet rows to and from JSON.
 #include <sassafrasferry/fleet/fleet_rows.h>
 
 namespace sassafrasferry::fleet {
@@ -14,9 +14,9 @@
     return *state;
 }
 
-// Turns a row that is not of its kind into a status.
+// Reads a row by `read`; a malformed row becomes a data loss status.
 template<typename T, typename Read>
-absl::StatusOr<T> guarded(const store::Row &row, Read read)
+absl::StatusOr<T> parseRow(const store::Row &row, Read read)
 {
     try {
         T result;
@@ -111,7 +111,7 @@
 
 absl::StatusOr<VmRow> vmFrom(const store::Row &row)
 {
-    return guarded<VmRow>(row, [&](const Json &json, VmRow &result) {
+    return parseRow<VmRow>(row, [&](const Json &json, VmRow &result) {
         result.name = row.key.key;
         json.at("pool").get_to(result.pool);
         json.at("target").get_to(result.target);
@@ -125,7 +125,7 @@
 
 absl::StatusOr<WaveRow> waveFrom(const store::Row &row)
 {
-    return guarded<WaveRow>(row, [&](const Json &json, WaveRow &result) {
+    return parseRow<WaveRow>(row, [&](const Json &json, WaveRow &result) {
         result.name = row.key.key;
         json.at("reason").get_to(result.reason);
         json.at("done").get_to(result.done);
@@ -136,7 +136,7 @@
 
 absl::StatusOr<BudgetRow> budgetFrom(const store::Row &row)
 {
-    return guarded<BudgetRow>(row, [&](const Json &json, BudgetRow &result) {
+    return parseRow<BudgetRow>(row, [&](const Json &json, BudgetRow &result) {
         result.pool = row.key.key;
         json.at("out").get_to(result.out);
         result.borrowed = json.value("borrowed", std::vector<std::string>());
--- a/packages/fleet/src/move_rows.cpp
+++ b/packages/fleet/src/move_rows.cpp
@@ -1,4 +1,4 @@
-// Finding the VMs that a change moves.
+// Compares the pools of two documents to find the VMs that move.
 #include <sassafrasferry/fleet/move_rows.h>
 
 #include <map>
--- a/packages/fleet/src/move_rows_test.cpp
+++ b/packages/fleet/src/move_rows_test.cpp
@@ -1,4 +1,4 @@
-// Moves that a change of the document asks for: the rows are written with the change or not at all.
+// Tests that the rows of moved VMs are written atomically with the document change.
 #include <sassafrasferry/fleet/move_rows.h>
 
 #include <sassafrasferry/fakes/memory_tables.h>
@@ -34,7 +34,7 @@
 
 const std::vector<std::string> before{"p", "p", "q"};
 const std::vector<std::string> after{"p", "q", "q"};
-const std::vector<std::string> later{"p", "p", "q"}; // w1 goes back
+const std::vector<std::string> later{"p", "p", "q"}; // w1 is moved back
 
 struct World
 {
@@ -67,8 +67,8 @@
 
 TEST_CASE("a change that moves a VM writes its row in the same transaction")
 {
-    // Between the change and the row an entry VM could use the VM in its new pool while it still
-    // has work of the old one. So whoever sees the revision must find the row.
+    // If the row were written later, an entry VM could use the VM in its new pool while it still
+    // has work of the old one. Every reader of the revision must therefore find the row.
     World world;
     REQUIRE(world.apply(before, 0).state == ChangeState::Accepted);
     CHECK(world.tables.scanNow({"vms", ""}).empty());
@@ -88,8 +88,8 @@
 
 TEST_CASE("a VM that is out of service is not moved by a second change")
 {
-    // An operator moves w1 back while it drains, or while a wave maintains it. Taken at once, the
-    // change would leave a row that names the wrong pool. He is told to wait, and nothing changes.
+    // An operator moves w1 back while it drains or is in maintenance. If the change were accepted,
+    // the row would name the wrong pool. It is refused, and nothing changes.
     World world;
     world.apply(before, 0);
     world.apply(after, 1);
@@ -101,7 +101,7 @@
     CHECK(world.apply(later, 2).state == ChangeState::Accepted);
 }
 
-TEST_CASE("a lost answer to a change that moves a VM is settled once")
+TEST_CASE("a change that moves a VM is applied once when its commit response is lost")
 {
     World world;
     world.apply(before, 0);
--- a/packages/fleet/src/pool_view.cpp
+++ b/packages/fleet/src/pool_view.cpp
@@ -1,4 +1,4 @@
-// Pools as the planners see them.
+// Builds the planners' input for a pool.
 #include <sassafrasferry/fleet/pool_view.h>
 
 #include <algorithm>
@@ -30,8 +30,8 @@
     return isDone ? policy::WaveVmState::Done : policy::WaveVmState::Pending;
 }
 
-policy::WavePool viewWith(const model::Pool &pool, const std::vector<std::string> &done,
-                          const FleetRows &rows, const FleetView &view)
+policy::WavePool makePoolView(const model::Pool &pool, const std::vector<std::string> &done,
+                              const FleetRows &rows, const FleetView &view)
 {
     policy::WavePool result;
     result.name = pool.name;
@@ -51,13 +51,13 @@
 
 policy::WavePool poolView(const model::Pool &pool, const FleetRows &rows, const FleetView &view)
 {
-    return viewWith(pool, {}, rows, view);
+    return makePoolView(pool, {}, rows, view);
 }
 
 policy::WavePool poolView(const model::Pool &pool, const model::Wave &wave, const WaveRow &row,
                           const FleetRows &rows, const FleetView &view)
 {
-    auto result = viewWith(pool, row.done, rows, view);
+    auto result = makePoolView(pool, row.done, rows, view);
     result.haltAfter = static_cast<std::size_t>(wave.haltAfter);
     return result;
 }
--- a/packages/fleet/src/vm_control_client.cpp
+++ b/packages/fleet/src/vm_control_client.cpp
@@ -1,4 +1,4 @@
-// The platform's protocol for orders to VMs, as a client.
+// Client side of the platform's HTTP protocol for orders to VMs.
 #include <sassafrasferry/fleet/vm_control_client.h>
 
 #include <sassafrasferry/http/json.h>
@@ -12,7 +12,7 @@
     if (exchange.state != http::ExchangeState::Answered)
         return exchange.status;
     if (exchange.response.result() != http::Status::ok)
-        return absl::UnavailableError("the platform answered "
+        return absl::UnavailableError("the platform answered with HTTP status "
                                       + std::to_string(exchange.response.result_int()));
     return absl::OkStatus();
 }
@@ -36,7 +36,7 @@
     const auto phase =
         json.is_object() ? model::valueOf<VmPhase>(json.value("phase", "")) : std::nullopt;
     if (!phase)
-        co_return absl::DataLossError("not a report on a VM");
+        co_return absl::DataLossError("the platform's report on the VM has no valid phase");
     VmReport report;
     report.phase = *phase;
     report.drainedOrder = json.value("drainedOrder", std::int64_t{0});
@@ -45,7 +45,8 @@
     co_return report;
 }
 
-Awaitable<absl::Status> VmControlClient::give(std::string vm, std::string what, std::int64_t order)
+Awaitable<absl::Status> VmControlClient::sendOrder(std::string vm, std::string what,
+                                                   std::int64_t order)
 {
     const http::Json body{{"order", order}};
     auto request = http::jsonRequest(http::Verb::post, "/v1/vms/" + vm + "/" + what, body);
@@ -55,17 +56,17 @@
 
 Awaitable<absl::Status> VmControlClient::drain(std::string vm, std::int64_t order)
 {
-    return this->give(std::move(vm), "drain", order);
+    return this->sendOrder(std::move(vm), "drain", order);
 }
 
 Awaitable<absl::Status> VmControlClient::maintain(std::string vm, std::int64_t order)
 {
-    return this->give(std::move(vm), "maintain", order);
+    return this->sendOrder(std::move(vm), "maintain", order);
 }
 
 Awaitable<absl::Status> VmControlClient::resume(std::string vm, std::int64_t order)
 {
-    return this->give(std::move(vm), "resume", order);
+    return this->sendOrder(std::move(vm), "resume", order);
 }
 
 } // namespace sassafrasferry::fleet
--- a/packages/fleet/src/vm_lender_test.cpp
+++ b/packages/fleet/src/vm_lender_test.cpp
@@ -1,6 +1,6 @@
-// Loans of VMs under failure: a wave that borrows, with a fault at every call that changes
-// something, while entry VMs read the rows late. At every moment a VM is used in one pool only, and
-// no pool has more VMs out than its budget allows; at the end every loan is back.
+// Tests VM loans under faults: a wave that borrows meets a fault at every call that changes state,
+// while entry VMs read the rows late. At all times a VM is used in one pool only and no pool
+// exceeds its budget; at the end every loan has been returned.
 #include "../tests/loan_world.h"
 
 #include <catch2/catch.hpp>
@@ -13,24 +13,24 @@
 
 namespace {
 
-std::size_t callsOfAWave()
+std::size_t countWaveCalls()
 {
     World world;
     world.startWave();
     CallFaults faults;
     CHECK(world.finish(faults).empty());
-    CHECK(world.mostLent > 0);
+    CHECK(world.maxLent > 0);
     return faults.calls;
 }
 
 } // namespace
 
-TEST_CASE("every fault at every call of a wave that borrows, and twice")
+TEST_CASE("a wave that borrows withstands every single and double fault at every call")
 {
-    // The holder of the lease dies, is paused while another one goes on, or calls are lost, at any
-    // call, while one of two entry VMs reads the rows late. Callers would see a VM work for two
-    // pools, or a service with fewer VMs than it promises.
-    const auto calls = callsOfAWave();
+    // At any call the lease holder dies, is paused while another process takes over, or loses the
+    // call, while one of two entry VMs reads the rows late. A violation would let a VM work for two
+    // pools, or leave a service fewer VMs than its availability requires.
+    const auto calls = countWaveCalls();
     const auto sweep = sweepFaults(calls, 5, [](CallFaults &faults) {
         World world;
         world.startWave();
@@ -43,11 +43,11 @@
     CHECK(sweep.violations == 0);
 }
 
-TEST_CASE("demand borrows as many VMs as it lacks, and gives back what it does not need")
+TEST_CASE("demand borrows the VMs that it lacks and returns those that it does not need")
 {
     World world;
     world.wishes = {{"p", policy::MoveWish::Borrow, 2}};
-    // The wish stays as it is until the first VM arrives: what is on its way must count.
+    // The wish stays unchanged until the first VM arrives: VMs about to arrive must count.
     world.steps(1);
     world.steps(1);
     world.steps(1);
@@ -66,19 +66,19 @@
     CHECK(world.failure.empty());
 }
 
-TEST_CASE("a wish for more than the spare pool may give stops at its promise")
+TEST_CASE("demand for more VMs than the spare pool's budget allows is capped by that budget")
 {
     World world;
     world.wishes = {{"p", policy::MoveWish::Borrow, 10}};
     world.steps(30);
-    CHECK(world.rows().size() == spareMayBeOut);
+    CHECK(world.rows().size() == spareMaxOut);
     CHECK(world.failure.empty());
 }
 
 TEST_CASE("a VM is not drained while an entry VM has requests on it or does not know")
 {
-    // A request that was given the VM just before waits for its claim. Were the VM emptied and
-    // lent meanwhile, the request would run in a pool that is not its service's.
+    // A request that was assigned the VM just before may still wait for its claim. If the VM were
+    // drained and lent meanwhile, the request would run in a pool of another service.
     World world;
     world.wishes = {{"p", policy::MoveWish::Borrow, 1}};
     world.steps(1);
@@ -94,10 +94,11 @@
     CHECK(world.failure.empty());
 }
 
-TEST_CASE("an entry VM that returns with old rows holds up a VM that arrives")
+TEST_CASE("an arriving VM waits for an entry VM that reconnects with stale rows")
 {
-    // It was silent while the VM was drained, so nobody waited for it, and it still uses the VM in
-    // the spare pool. It is heard again just before the VM would serve the borrower.
+    // The entry VM sent no heartbeats while the VM was drained, so control did not wait for it, and
+    // it still uses the VM in the spare pool. It reconnects just before the VM would start to serve
+    // the borrower.
     World world;
     CallFaults none;
     world.isSecondSilent = true;
@@ -116,28 +117,28 @@
     CHECK(world.rows().at(0).state == VmState::Lent);
 }
 
-TEST_CASE("a borrowed VM stays while VMs that are out rest on it")
+TEST_CASE("a borrowed VM is not returned while the budget for VMs out depends on it")
 {
-    // The operators end all lending while a wave has more VMs out than the pool alone allows. Taken
-    // back at once, the borrowed VMs would leave the service fewer than it promises.
+    // The operators end all lending while a wave has more VMs out than the pool alone allows. An
+    // immediate return of the borrowed VMs would leave the service fewer VMs than it requires.
     World world;
     CallFaults none;
     world.fleet.services[0].availability = 1;
-    world.mayBeOut = 0;
+    world.maxOut = 0;
     world.startWave();
     for (int i = 0; i < 100 && world.out() == 0; ++i)
         world.steps(1);
     REQUIRE(world.out() > 0);
     world.fleet.lending.reset();
     for (int i = 0; i < 5; ++i)
-        world.step(none, world.fence); // no time passes at the platform: what is out stays out
+        world.step(none, world.fence); // no platform tick: VMs that are out stay out
     CHECK(world.failure.empty());
     world.steps(150);
     CHECK(world.rows().empty());
     CHECK(world.failure.empty());
 }
 
-TEST_CASE("a lent VM that fails goes home, and one that the document drops is forgotten")
+TEST_CASE("a lent VM that fails is returned, and the row of one that the document drops is deleted")
 {
     World world;
     world.wishes = {{"p", policy::MoveWish::Borrow, 2}};
@@ -157,11 +158,11 @@
     CHECK(world.rows().empty());
 }
 
-TEST_CASE("a permit that rests on a borrowed VM does not pass once that VM goes")
+TEST_CASE("a permit that counts on a borrowed VM conflicts once that VM leaves")
 {
-    // The holder asked for a permit and got no answer; the request is still on its way. The next
-    // holder sees nobody out and gives the borrowed VM back. Were the permit to pass after that,
-    // callers would find one VM fewer than the service promises.
+    // A lease holder requested a permit that is delayed in the network. The next holder sees no VM
+    // out and returns the borrowed VM. If the permit committed after that, the service would have
+    // one VM fewer than it requires.
     World world;
     FleetStore<fakes::MemoryTables> store(world.tables);
     boost::asio::io_context context(1);
@@ -187,16 +188,16 @@
     CHECK(world.rows().size() == 1);
 }
 
-TEST_CASE("loans go home when their wave halts, but not those that its VMs rest on")
+TEST_CASE("loans return when their wave halts, except those that its VMs depend on")
 {
     World world;
     world.startWave();
     world.fleet.waves[0].haltAfter = 1;
-    world.vms.failsAfterwards = "p0";
+    world.vms.failsAfterMaintenance = "p0";
     world.steps(60);
-    // p0 is out and failing; one of two may be, so every borrowed VM can go.
+    // p0 is out and failing. The pool's own budget of two covers it, so every loan can return.
     CHECK(world.lent() == 0);
     CHECK(world.rows().size() == 1);
-    CHECK(world.mostLent > 0);
+    CHECK(world.maxLent > 0);
     CHECK(world.failure.empty());
 }
--- a/packages/fleet/src/wave_runner_test.cpp
+++ b/packages/fleet/src/wave_runner_test.cpp
@@ -1,6 +1,6 @@
-// Waves under failure: a fault at every call that changes something, by the process that holds the
-// control lease. After each, the wave must finish with every VM maintained exactly once, each
-// only when it was empty, and never more VMs out than the budget allows.
+// Tests waves under faults: the holder of the control lease meets a fault at every call that
+// changes state. The wave must still finish, with every VM maintained exactly once and only while
+// empty, and with the budget for VMs out never exceeded.
 #include "../tests/fleet_world.h"
 
 #include <sassafrasferry/fakes/run.h>
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t poolSize = 8;
-constexpr int mostSteps = 200;
+constexpr int maxSteps = 200;
 
 model::Document document()
 {
@@ -42,7 +42,7 @@
     return result;
 }
 
-// Runs a wave to its end; the first violated promise, or an empty string.
+// Simulates a fleet with one wave and checks the invariants after every step.
 class Run
 {
 public:
@@ -56,18 +56,18 @@
         this->takeOver();
     }
 
-    // Another process takes the lease: the fence changes.
+    // Another process takes over the lease, which changes the fence.
     void takeOver()
     {
         this->fence = takeLease(this->tables, this->epoch);
     }
 
-    // One step of a process that believes to hold the lease with this fence.
+    // Runs a step of a process that believes it holds the lease with this fence.
     void step(CallFaults &faults, store::Condition stepFence)
     {
-        FaultyTables tablesSeen{this->tables, faults};
-        FaultyVms vmsSeen{this->vms, faults};
-        Runner runner(tablesSeen, vmsSeen, [](const FleetDecision &) {});
+        FaultyTables faultyTables{this->tables, faults};
+        FaultyVms faultyVms{this->vms, faults};
+        Runner runner(faultyTables, faultyVms, [](const FleetDecision &) {});
         const FleetView view{this->fleet, this->failed, 1, ++this->now};
         boost::asio::io_context context(1);
         (void)fakes::run(context, runner.step(view, stepFence));
@@ -79,12 +79,13 @@
         this->vms.tick();
     }
 
-    bool isOver() const
+    bool isFinished() const
     {
         return this->wave()->state == WaveState::Finished;
     }
 
-    // The wave to its end, with the faults of the first process.
+    // Runs the wave to its end; `faults` hit the first process. Returns the first violated
+    // invariant, or an empty string.
     std::string finish(CallFaults &faults)
     {
         faults.whilePaused = [&] {
@@ -95,8 +96,8 @@
                 this->vms.tick();
             }
         };
-        carryThrough(*this, faults, mostSteps);
-        if (this->failure.empty() && !this->isOver())
+        runToEnd(*this, faults, maxSteps);
+        if (this->failure.empty() && !this->isFinished())
             this->failure = "the wave does not finish";
         for (const auto &[name, vm] : this->vms.vms) {
             if (this->failure.empty() && vm.maintained != 1)
@@ -142,7 +143,7 @@
     std::string failure;
 };
 
-std::size_t callsOfAWave()
+std::size_t countWaveCalls()
 {
     Run run;
     CallFaults faults;
@@ -152,9 +153,9 @@
 
 } // namespace
 
-TEST_CASE("every fault at every call of a wave, and twice")
+TEST_CASE("a wave withstands every single and double fault at every call")
 {
-    const auto calls = callsOfAWave();
+    const auto calls = countWaveCalls();
     const auto sweep = sweepFaults(calls, 4, [](CallFaults &faults) {
         Run run;
         return run.finish(faults);
@@ -166,10 +167,11 @@
     CHECK(sweep.violations == 0);
 }
 
-TEST_CASE("two processes that both believe to hold the lease cannot overdraw the budget")
+TEST_CASE("two processes that both believe they hold the lease cannot exceed the budget")
 {
-    // Each plans from the same rows and asks for permits in turn. The budget row's version lets one
-    // of two racing permits pass, and the fence stops the older process altogether.
+    // Both plan from the same rows and request permits in turn. The version of the budget row lets
+    // only one of two racing permits commit. The fence, which would stop the older process, is the
+    // same for both here.
     Run run;
     CallFaults none;
     CallFaults racing;
@@ -180,7 +182,7 @@
     racing.whilePaused = [&] {
         if (std::exchange(isInside, true))
             return;
-        run.step(none, run.fence); // the same fence: the lease's own safeguard taken out
+        run.step(none, run.fence); // same fence, to bypass the protection by the lease
         isInside = false;
     };
     for (int i = 0; i < 20; ++i) {
@@ -190,7 +192,7 @@
     CHECK(run.finish(none).empty());
 }
 
-TEST_CASE("a wave waits while others have failed, and halts when VMs come back failing")
+TEST_CASE("a wave waits while other VMs have failed, and halts when VMs fail after maintenance")
 {
     Run run;
     run.failed = {"w4", "w5", "w6", "w7"};
@@ -200,7 +202,7 @@
     CHECK_THAT(run.wave()->reason, Catch::Contains("4 of 4"));
     run.failed.clear();
     run.fleet.waves[0].haltAfter = 1;
-    run.vms.failsAfterwards = "w0";
+    run.vms.failsAfterMaintenance = "w0";
     for (int i = 0; i < 20; ++i) {
         run.step(none, run.fence);
         run.vms.tick();
@@ -209,15 +211,16 @@
     CHECK_THAT(run.wave()->reason, Catch::Contains("came back failing"));
 }
 
-TEST_CASE("the checks notice a platform that obeys old orders")
+TEST_CASE("the checks detect a platform that accepts stale orders")
 {
-    // A holder is paused before its maintain order, another one has the VM maintained, the first
-    // one wakes and gives its order: the VM would be rebooted with requests in flight.
+    // A lease holder is paused before its maintain order. The next holder has the VM maintained;
+    // then the first resumes and sends its order, which would reboot the VM with requests in
+    // flight.
     std::size_t violations = 0;
-    const auto calls = callsOfAWave();
+    const auto calls = countWaveCalls();
     for (std::size_t call = 0; call < calls; ++call) {
         Run run;
-        run.vms.obeysOldOrders = true;
+        run.vms.acceptsStaleOrders = true;
         CallFaults faults;
         faults.faultOf = [&](std::size_t number) {
             return number == call ? CallFault::HolderPaused : CallFault::None;
@@ -231,8 +234,8 @@
 
 TEST_CASE("a move drains first, and waits until every entry VM knows of it")
 {
-    // A request in flight on w0 runs on in the old pool, and an entry VM that has not adopted the
-    // change would still send to w0 there. Only then may it serve in the new pool.
+    // Requests in flight on w0 belong to the old pool, and an entry VM that has not adopted the
+    // change still sends to w0 there. w0 may serve in the new pool only after both have ended.
     Run run;
     VmRow move;
     move.name = "w0";
@@ -264,7 +267,8 @@
 
 TEST_CASE("a process without the lease changes nothing")
 {
-    // It was paused, another one took the lease over, and it goes on with what it had decided.
+    // A process resumes after a pause in which another one took over the lease, and carries out its
+    // old decisions.
     Run run;
     const auto old = run.fence;
     run.takeOver();
@@ -273,13 +277,13 @@
         run.step(none, old);
     CHECK(run.out() == 0);
     run.step(none, run.fence);
-    CHECK(run.out() == 2); // the rest of the budget is kept for a rack of two
+    CHECK(run.out() == 2); // the rest of the budget is reserved for a rack of two
 }
 
-TEST_CASE("of two permits that rest on the same budget row one passes")
+TEST_CASE("of two permits based on the same budget row only one commits")
 {
-    // Two processes have read that one more VM may go out, and each has chosen another one. Callers
-    // of the service would find two gone.
+    // Two processes have read that one more VM may go out, and each chose a different VM. If both
+    // permits committed, the service would lose two VMs.
     fakes::MemoryTables tables;
     const auto key = store::LeaseKeeper<fakes::MemoryTables>::epochKey();
     const store::Condition fence{key, tables.commitNow({{}, {{key, Json::object()}}, {}}).version};
--- a/packages/fleet/tests/fleet_world.h
+++ b/packages/fleet/tests/fleet_world.h
@@ -1,4 +1,4 @@
-// A fleet on a virtual clock: the table service and the platform's VMs, with a fault at any call.
+// Fakes of the table service and the platform's VMs on a virtual clock, with injected faults.
 #pragma once
 
 #include <sassafrasferry/fakes/memory_tables.h>
@@ -13,18 +13,18 @@
 
 namespace sassafrasferry::fleet {
 
-/// Thrown where the process that holds the lease dies.
+/// Thrown to simulate the death of the process that holds the lease.
 struct HolderKilled
 {};
 
-/// A fault of one call.
+/// A fault injected into one call.
 enum class CallFault {
     None,
-    HolderKilled, ///< before the call
-    HolderPaused, ///< before the call, while another one takes the lease over and goes on
-    CallLost, ///< it has no effect, and no answer comes
-    AnswerLost, ///< it has its effect, and no answer comes
-    CallTwice, ///< it is carried out twice
+    HolderKilled, ///< the lease holder dies before the call
+    HolderPaused, ///< the lease holder is paused before the call while another one takes over
+    CallLost, ///< the call has no effect, and no answer arrives
+    AnswerLost, ///< the call takes effect, and no answer arrives
+    CallTwice, ///< the call is carried out twice
 };
 
 constexpr auto enumNames(CallFault)
@@ -38,12 +38,12 @@
                       EnumName{CallFault::CallTwice, "call twice"}};
 }
 
-/// Decides the fault of each call that changes something, by its number.
+/// Selects the fault of each call that changes state, by the number of the call.
 struct CallFaults
 {
-    std::size_t calls = 0; ///< so far
+    std::size_t calls = 0; ///< number of calls so far
     std::function<CallFault(std::size_t)> faultOf;
-    std::function<void()> whilePaused; ///< what happens while the holder is paused
+    std::function<void()> whilePaused; ///< runs while the lease holder is paused
 
     CallFault next()
     {
@@ -57,7 +57,7 @@
     }
 };
 
-/// What a sweep of faults came to.
+/// The result of a fault sweep.
 struct FaultSweep
 {
     std::size_t runs = 0;
@@ -65,15 +65,16 @@
     std::string first; ///< the first violation, with its fault and call
 };
 
-/// Every fault at every one of `calls` calls, alone and a second time `again` calls later.
-/// `run(faults)` carries a world through them and returns the first violated promise, or nothing.
+/// Injects every fault at each of `calls` calls: alone, again at the next call, and again after
+/// `secondDistance` calls. `run(faults)` runs a simulation and returns the first violated
+/// invariant, or an empty string.
 template<typename Run>
-FaultSweep sweepFaults(std::size_t calls, std::size_t again, Run run)
+FaultSweep sweepFaults(std::size_t calls, std::size_t secondDistance, Run run)
 {
     FaultSweep sweep;
     for (const auto &fault : enumNames(CallFault{})) {
         for (std::size_t call = 0; call < calls; ++call) {
-            for (const std::size_t second : {call, call + 1, call + again}) {
+            for (const std::size_t second : {call, call + 1, call + secondDistance}) {
                 CallFaults faults;
                 faults.faultOf = [&](std::size_t number) {
                     const bool isDue = number == call || number == second;
@@ -91,7 +92,7 @@
     return sweep;
 }
 
-/// Another process takes the lease: the fence changes.
+/// Another process takes over the lease; returns the new fence.
 inline store::Condition takeLease(fakes::MemoryTables &tables, std::int64_t &epoch)
 {
     const auto key = store::LeaseKeeper<fakes::MemoryTables>::epochKey();
@@ -99,7 +100,7 @@
     return {key, commit.version};
 }
 
-/// The table service, seen by one process.
+/// The table service as one process sees it, with faults.
 struct FaultyTables
 {
     fakes::MemoryTables &tables;
@@ -129,16 +130,16 @@
     }
 };
 
-/// Carries a world on until it is over or `mostSteps` have passed. The first process meets
-/// `faults`; if it is killed another one goes on, and if it was paused it finds out by its next
-/// read of the lease.
+/// Runs a simulation until it has finished or `maxSteps` steps have passed. The first process meets
+/// `faults`. If it is killed, another one takes over; if it was paused, it notices the takeover at
+/// its next read of the lease.
 template<typename World>
-void carryThrough(World &world, CallFaults &faults, int mostSteps)
+void runToEnd(World &world, CallFaults &faults, int maxSteps)
 {
     auto *current = &faults;
     CallFaults none;
     auto fence = world.fence;
-    for (int i = 0; i < mostSteps && !world.isOver(); ++i) {
+    for (int i = 0; i < maxSteps && !world.isFinished(); ++i) {
         try {
             world.step(*current, fence);
         } catch (const HolderKilled &) {
@@ -152,21 +153,21 @@
     }
 }
 
-/// A VM at the platform.
+/// A VM of the fake platform.
 struct FakeVm
 {
     VmReport report;
-    int maintained = 0; ///< times maintenance was carried out
-    bool maintainedWhileServing = false; ///< a request in flight would have been cut off
-    std::int64_t underWay = 0; ///< the maintain order being carried out
+    int maintained = 0; ///< number of times that maintenance was started
+    bool maintainedWhileServing = false; ///< maintenance would have aborted a request in flight
+    std::int64_t maintainOrder = 0; ///< the latest maintain order
 };
 
-/// The platform's VMs; time passes by `tick`.
+/// The VMs of the fake platform; `tick` advances the time.
 struct FakeVms
 {
     std::map<std::string, FakeVm> vms;
-    std::string failsAfterwards; ///< the VM that comes back failing
-    bool obeysOldOrders = false; ///< sabotage: orders are not fenced
+    std::string failsAfterMaintenance; ///< the VM whose health check fails after maintenance
+    bool acceptsStaleOrders = false; ///< negative control: maintain orders are not fenced
 
     void tick()
     {
@@ -175,8 +176,8 @@
                 vm.report.phase = VmPhase::Empty;
             else if (vm.report.phase == VmPhase::Maintaining) {
                 vm.report.phase = VmPhase::Serving;
-                vm.report.maintainedOrder = vm.underWay;
-                vm.report.isFailing = name == this->failsAfterwards;
+                vm.report.maintainedOrder = vm.maintainOrder;
+                vm.report.isFailing = name == this->failsAfterMaintenance;
             }
         }
     }
@@ -193,11 +194,11 @@
     void maintain(const std::string &name, std::int64_t order)
     {
         auto &vm = this->vms.at(name);
-        const bool isOld = order <= vm.report.maintainedOrder || order <= vm.underWay;
-        if (isOld && !this->obeysOldOrders)
+        const bool isStale = order <= vm.report.maintainedOrder || order <= vm.maintainOrder;
+        if (isStale && !this->acceptsStaleOrders)
             return;
         vm.maintainedWhileServing = vm.maintainedWhileServing || vm.report.phase != VmPhase::Empty;
-        vm.underWay = order;
+        vm.maintainOrder = order;
         vm.report.phase = VmPhase::Maintaining;
         ++vm.maintained;
     }
@@ -210,7 +211,7 @@
     }
 };
 
-/// The platform's VMs, seen by one process.
+/// The platform's VMs as one process sees them, with faults.
 struct FaultyVms
 {
     FakeVms &vms;
@@ -223,22 +224,22 @@
 
     Awaitable<absl::Status> drain(std::string vm, std::int64_t order)
     {
-        co_return this->give([&] { this->vms.drain(vm, order); });
+        co_return this->sendOrder([&] { this->vms.drain(vm, order); });
     }
 
     Awaitable<absl::Status> maintain(std::string vm, std::int64_t order)
     {
-        co_return this->give([&] { this->vms.maintain(vm, order); });
+        co_return this->sendOrder([&] { this->vms.maintain(vm, order); });
     }
 
     Awaitable<absl::Status> resume(std::string vm, std::int64_t order)
     {
-        co_return this->give([&] { this->vms.resume(vm, order); });
+        co_return this->sendOrder([&] { this->vms.resume(vm, order); });
     }
 
 private:
     template<typename Order>
-    absl::Status give(Order order)
+    absl::Status sendOrder(Order order)
     {
         const auto fault = this->faults.next();
         if (fault != CallFault::CallLost)
--- a/packages/fleet/tests/loan_world.h
+++ b/packages/fleet/tests/loan_world.h
@@ -1,5 +1,5 @@
-// A fleet with a pool that borrows and a spare pool that lends, on a virtual clock, and two entry
-// VMs of which one reads the rows late. Checks at every moment what must hold.
+// Simulates a fleet with a borrowing pool, a spare pool that lends, and two entry VMs of which one
+// reads the rows late, on a virtual clock. Checks the invariants after every step.
 #pragma once
 
 #include "fleet_world.h"
@@ -14,9 +14,9 @@
 
 constexpr std::size_t poolSize = 8;
 constexpr std::size_t spareSize = 4;
-constexpr std::size_t poolMayBeOut = 2; // 0.75 of eight stay
-constexpr std::size_t spareMayBeOut = 3; // 0.25 of four stay
-constexpr int mostSteps = 400;
+constexpr std::size_t poolMaxOut = 2; // 75 % of eight stay in service
+constexpr std::size_t spareMaxOut = 3; // 25 % of four stay in service
+constexpr int maxSteps = 400;
 
 inline model::Pool pool(const std::string &name, std::size_t size)
 {
@@ -51,19 +51,19 @@
     wave.pools = {"p"};
     result.waves.push_back(wave);
     model::Lending lending;
-    lending.weights = {100, 1, 0.1}; // roll-out weighs most: borrows
+    lending.weights = {100, 1, 0.1}; // roll-out has the highest weight, so that the wave borrows
     lending.demand = model::MovePolicy::Always;
     result.lending = lending;
     return result;
 }
 
-/// The pools in which an entry VM uses VMs, by the rows as it read them last.
+/// An entry VM, with the rows that it last read.
 struct Entry
 {
     std::int64_t version = store::absent;
     std::vector<VmRow> rows;
 
-    // Empty if it does not use the VM.
+    // The pool in which this entry VM uses the VM; empty if it does not use it.
     std::string poolOf(const std::string &vm, const std::string &home) const
     {
         for (const auto &row : this->rows) {
@@ -74,7 +74,7 @@
     }
 };
 
-/// The world; `failure` names the first violated promise.
+/// The simulated fleet.
 class LoanWorld
 {
 public:
@@ -105,9 +105,9 @@
 
     void step(CallFaults &faults, store::Condition stepFence)
     {
-        FaultyTables tablesSeen{this->tables, faults};
-        FaultyVms vmsSeen{this->vms, faults};
-        Runner runner(tablesSeen, vmsSeen, [](const FleetDecision &) {});
+        FaultyTables faultyTables{this->tables, faults};
+        FaultyVms faultyVms{this->vms, faults};
+        Runner runner(faultyTables, faultyVms, [](const FleetDecision &) {});
         FleetView view{this->fleet, this->failed, 1, ++this->now};
         view.fleetVersionEverywhere = this->entries[0].version;
         if (!this->isSecondSilent)
@@ -120,7 +120,7 @@
         this->check();
     }
 
-    // Time passes: at the platform, and for entry VMs, the second of which reads late.
+    // Advances the platform by one tick and refreshes the entry VMs; the second one reads late.
     void pass()
     {
         this->vms.tick();
@@ -139,22 +139,22 @@
         }
     }
 
-    bool isOver() const
+    bool isFinished() const
     {
         const auto wave = this->tables.readNow({waveKey("weekly")});
         return waveFrom(wave.at(0))->state == WaveState::Finished && this->rows().empty();
     }
 
-    // The wave to its end and every loan home, with the faults of the first process.
+    // Runs until the wave has finished and every loan is returned. `faults` hit the first process.
     std::string finish(CallFaults &faults)
     {
         faults.whilePaused = [&] {
             this->takeOver();
             this->steps(4);
         };
-        carryThrough(*this, faults, mostSteps);
-        if (this->failure.empty() && !this->isOver())
-            this->failure = "the wave or its loans do not end";
+        runToEnd(*this, faults, maxSteps);
+        if (this->failure.empty() && !this->isFinished())
+            this->failure = "the wave does not finish, or a loan is not returned";
         return this->failure;
     }
 
@@ -183,10 +183,10 @@
     std::set<std::string> failed;
     std::set<std::string> busy;
     std::vector<policy::PoolWish> wishes;
-    std::size_t mayBeOut = poolMayBeOut; // of p, without borrowed VMs
-    std::size_t mostLent = 0;
-    bool isSecondSilent = false; // the late entry VM counts as gone, and reads nothing
-    std::string failure; // the first violated promise
+    std::size_t maxOut = poolMaxOut; // limit for p, not counting borrowed VMs
+    std::size_t maxLent = 0;
+    bool isSecondSilent = false; // the late entry VM counts as dead, and reads nothing
+    std::string failure; // the first violated invariant
 
 private:
     BudgetRow budget(const std::string &name) const
@@ -210,11 +210,11 @@
     void check()
     {
         const auto p = this->budget("p");
-        this->mostLent = std::max(this->mostLent, p.borrowed.size());
-        if (p.out.size() > this->mayBeOut + p.borrowed.size())
-            this->fail("too many of p are out");
-        if (this->budget("reserve").out.size() > spareMayBeOut)
-            this->fail("too many of the spare pool are away");
+        this->maxLent = std::max(this->maxLent, p.borrowed.size());
+        if (p.out.size() > this->maxOut + p.borrowed.size())
+            this->fail("too many VMs of p are out");
+        if (this->budget("reserve").out.size() > spareMaxOut)
+            this->fail("too many VMs of the spare pool are out");
         for (const auto &item : this->fleet.pools) {
             for (const auto &vm : item.vms)
                 this->checkVm(vm.name, item.name);
