--- a/packages/entry/src/process/admin_api.cpp
+++ b/packages/entry/src/process/admin_api.cpp
@@ -1,4 +1,4 @@
-// Routes of the administration API, and its pages on the entry VM itself.
+// Dispatches administration requests and answers the pages about the entry VM itself.
 #include "admin_api.h"
 
 #include <sassafrasferry/http/json.h>
@@ -24,8 +24,8 @@
 {
     const std::string path(request.target());
     const auto target = parseAdminTarget(request.method(), path);
-    // Pages that ask the store. Their answers are named first: g++ 12 destroys what a co_return of
-    // a co_await holds twice.
+    // These pages query the store. Each response goes through a local variable because g++ 12
+    // destroys the temporaries of `co_return co_await ...` twice.
     if (target.page == AdminPage::Apply) {
         auto response = co_await this->apply(target.name, std::move(request));
         co_return response;
--- a/packages/entry/src/process/admin_api.h
+++ b/packages/entry/src/process/admin_api.h
@@ -1,4 +1,4 @@
-// The administration API: health, metrics, status, and the document.
+// The administration API: health, metrics, status, the document and waves.
 #pragma once
 
 #include "admin_request.h"
@@ -8,7 +8,7 @@
 
 namespace sassafrasferry::entry {
 
-/// Answers administration requests, on the control thread.
+/// Answers administration requests. Runs on the control thread.
 class AdminApi
 {
 public:
@@ -18,7 +18,7 @@
     Awaitable<http::Response> handle(http::Request request);
 
 private:
-    /// Pages that need no answer of the store.
+    /// Answers the pages that do not query the store.
     http::Response localPage(const AdminTarget &target) const;
     http::Response healthz() const;
     http::Response metrics() const;
--- a/packages/entry/src/process/admin_document.cpp
+++ b/packages/entry/src/process/admin_document.cpp
@@ -1,4 +1,4 @@
-// The administration API's pages on the document: its sections, changes and history.
+// Administration pages for the document: its sections, changes and history.
 #include "admin_api.h"
 
 #include <sassafrasferry/http/json.h>
--- a/packages/entry/src/process/admin_metrics.cpp
+++ b/packages/entry/src/process/admin_metrics.cpp
@@ -1,4 +1,4 @@
-// The administration API's `/metrics`: figures of the process beside those of its requests.
+// The `/metrics` page: process metrics in addition to the request metrics of `Metrics`.
 #include "admin_api.h"
 
 #include <fstream>
@@ -34,12 +34,12 @@
 {
     const auto &link = this->control.link();
     const auto gauge = [](const char *name, const char *help, double value) {
-        return Reading{name, help, "", "", value, false};
+        return MetricSample{name, help, "", "", value, false};
     };
     const auto counter = [](const char *name, const char *help, double value) {
-        return Reading{name, help, "", "", value, true};
+        return MetricSample{name, help, "", "", value, true};
     };
-    std::vector<Reading> readings{
+    std::vector<MetricSample> samples{
         gauge("sassafrasferry_revision", "Document revision in force.",
               static_cast<double>(this->versions.current()->texts.revision)),
         gauge("sassafrasferry_resident_bytes", "Resident memory of the process.", residentBytes()),
@@ -70,19 +70,19 @@
         return dispatcher.poolStatus(std::chrono::steady_clock::now());
     });
     for (const auto &pool : pools)
-        readings.push_back({"sassafrasferry_pool_waiting", "Requests that wait, by pool.", "pool",
-                            pool.name, static_cast<double>(pool.waiting), false});
+        samples.push_back({"sassafrasferry_pool_waiting", "Requests that wait, by pool.", "pool",
+                           pool.name, static_cast<double>(pool.waiting), false});
     for (const auto &pool : pools)
-        readings.push_back({"sassafrasferry_pool_in_use", "Slots in use by this entry VM.", "pool",
-                            pool.name, static_cast<double>(pool.inUse), false});
+        samples.push_back({"sassafrasferry_pool_in_use", "Slots in use by this entry VM.", "pool",
+                           pool.name, static_cast<double>(pool.inUse), false});
     const auto teams = this->parts.dispatcher.locked([](policy::Dispatcher &dispatcher) {
         return dispatcher.teamStatus(std::chrono::steady_clock::now());
     });
     for (const auto &team : teams)
-        readings.push_back({"sassafrasferry_team_processors",
-                            "Processors that requests of a team with a quota hold here.", "team",
-                            team.name, static_cast<double>(team.inUse), false});
-    return http::textResponse(Status::ok, this->parts.metrics.exposition(readings));
+        samples.push_back({"sassafrasferry_team_processors",
+                           "Processors that requests of a team with a quota hold here.", "team",
+                           team.name, static_cast<double>(team.inUse), false});
+    return http::textResponse(Status::ok, this->parts.metrics.exposition(samples));
 }
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/process/admin_request.cpp
+++ b/packages/entry/src/process/admin_request.cpp
@@ -12,7 +12,7 @@
 using http::Json;
 using http::Verb;
 
-// A page at a path, or, if the path ends in a slash, at that path and a name.
+// Maps a method and a path to a page. A path that ends in '/' is followed by a name.
 struct Route
 {
     Verb method;
@@ -35,19 +35,19 @@
     Route{Verb::post, "/v1/waves/", AdminPage::SetWave},
 };
 
-bool isNamed(const Route &route)
+bool hasName(const Route &route)
 {
     return route.path.back() == '/';
 }
 
 bool matches(const Route &route, std::string_view target)
 {
-    if (!isNamed(route))
+    if (!hasName(route))
         return target == route.path;
     return target.size() > route.path.size() && target.substr(0, route.path.size()) == route.path;
 }
 
-// Names go into answers and log lines, which hold text.
+// Names are copied into answers and log lines, so they must be printable text.
 bool isPrintable(std::string_view name)
 {
     return std::all_of(name.begin(), name.end(), [](char character) {
@@ -57,9 +57,9 @@
     });
 }
 
-// Runs a reading of JSON; what it throws becomes an error.
+// Parses a JSON body with `read` and converts its exceptions to an error status.
 template<typename T, typename Read>
-absl::StatusOr<T> readBody(const std::string &body, Read read)
+absl::StatusOr<T> parseBody(const std::string &body, Read read)
 {
     try {
         T result;
@@ -78,7 +78,7 @@
     for (const auto &route : routes) {
         if (!matches(route, target))
             continue;
-        const auto name = isNamed(route) ? target.substr(route.path.size()) : std::string_view();
+        const auto name = hasName(route) ? target.substr(route.path.size()) : std::string_view();
         if (!isPrintable(name))
             return {AdminPage::BadName, {}};
         if (route.method == method)
@@ -91,20 +91,20 @@
 absl::StatusOr<store::SectionChange> parseSectionChange(const std::string &section,
                                                         const std::string &body)
 {
-    return readBody<store::SectionChange>(body,
-                                          [&](const Json &json, store::SectionChange &change) {
-                                              change.section = section;
-                                              json.at("text").get_to(change.text);
-                                              json.at("baseRevision").get_to(change.baseRevision);
-                                              json.at("operationId").get_to(change.operationId);
-                                              json.at("token").get_to(change.token);
-                                          });
+    return parseBody<store::SectionChange>(body,
+                                           [&](const Json &json, store::SectionChange &change) {
+                                               change.section = section;
+                                               json.at("text").get_to(change.text);
+                                               json.at("baseRevision").get_to(change.baseRevision);
+                                               json.at("operationId").get_to(change.operationId);
+                                               json.at("token").get_to(change.token);
+                                           });
 }
 
 absl::StatusOr<WaveOrder> parseWaveOrder(const std::string &body)
 {
     std::string action;
-    auto order = readBody<WaveOrder>(body, [&](const Json &json, WaveOrder &result) {
+    auto order = parseBody<WaveOrder>(body, [&](const Json &json, WaveOrder &result) {
         json.at("action").get_to(action);
         json.at("token").get_to(result.token);
     });
--- a/packages/entry/src/process/admin_request.h
+++ b/packages/entry/src/process/admin_request.h
@@ -1,5 +1,5 @@
-// What an administration request asks for: its page by method and path, and its body as a typed
-// order. Whatever bytes arrive, the result is an order or an error that says what is wrong.
+// Parses administration requests: the page from method and path, and the body into a typed order.
+// Any input yields either an order or an error that describes the problem.
 #pragma once
 
 #include <sassafrasferry/http/types.h>
@@ -19,16 +19,16 @@
     Metrics,
     Status,
     Upstreams,
-    Explain, ///< named by a request id
+    Explain, ///< path contains a request id
     Document,
-    Section, ///< named by a section
-    Apply, ///< named by a section
-    Operation, ///< named by an operation id
-    History, ///< named by a revision
+    Section, ///< path contains a section name
+    Apply, ///< path contains a section name
+    Operation, ///< path contains an operation id
+    History, ///< path contains a revision
     Waves,
-    SetWave, ///< named by a wave
+    SetWave, ///< path contains a wave name
     WrongMethod,
-    BadName, ///< a name with characters other than printable ASCII
+    BadName, ///< the name has characters other than printable ASCII
     Missing,
 };
 
@@ -52,14 +52,14 @@
                       EnumName{AdminPage::Missing, "missing"}};
 }
 
-/// A page and, for pages that have one, the name in its path.
+/// A page and the name in its path; the name is empty for pages without one.
 struct AdminTarget
 {
     AdminPage page = AdminPage::Missing;
     std::string name;
 };
 
-/// What an operator orders of a wave.
+/// An operator's action on a wave.
 enum class WaveAction { Start, Halt, Resume };
 
 constexpr auto enumNames(WaveAction)
@@ -69,25 +69,25 @@
                       EnumName{WaveAction::Resume, "resume"}};
 }
 
-/// An order and the token of the team that gives it.
+/// An action on a wave and the token of the team that requests it.
 struct WaveOrder
 {
     WaveAction action = WaveAction::Start;
     std::string token;
 };
 
-/// The page that a method and a path name.
+/// Returns the page and name for a method and a path.
 ///
 /// ```
 /// parseAdminTarget(Verb::get, "/v1/sections/fleet") // Section, "fleet"
 /// ```
 AdminTarget parseAdminTarget(http::Verb method, std::string_view target);
 
-/// The change in the body of an apply request: `text`, `baseRevision`, `operationId`, `token`.
+/// Parses the body of an apply request: `text`, `baseRevision`, `operationId`, `token`.
 absl::StatusOr<store::SectionChange> parseSectionChange(const std::string &section,
                                                         const std::string &body);
 
-/// The order in the body of a wave request: `action`, `token`.
+/// Parses the body of a wave request: `action`, `token`.
 absl::StatusOr<WaveOrder> parseWaveOrder(const std::string &body);
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/process/admin_request_test.cpp
+++ b/packages/entry/src/process/admin_request_test.cpp
@@ -1,4 +1,4 @@
-// The administration API as its callers may use it, faulty requests included.
+// Parsing of valid and invalid administration requests.
 #include "admin_request.h"
 
 #include <catch2/catch.hpp>
@@ -21,12 +21,12 @@
 {
     std::string title;
     std::string body;
-    bool isSound;
+    bool isValid;
 };
 
 } // namespace
 
-TEST_CASE("the page that a request asks for")
+TEST_CASE("an administration request is mapped to its page by method and path")
 {
     const auto row = GENERATE(values<TargetCase>({
         {Verb::get, "/healthz", AdminPage::Health, ""},
@@ -57,7 +57,7 @@
     CHECK(target.name == row.name);
 }
 
-TEST_CASE("a change's body is whole and of the right types, or an error")
+TEST_CASE("a change body with missing keys or wrong types is rejected")
 {
     const std::string rest = R"("operationId": "o", "token": "t"})";
     const auto row = GENERATE_COPY(values<BodyCase>({
@@ -72,7 +72,7 @@
     }));
     INFO(row.title);
     const auto change = parseSectionChange("fleet", row.body);
-    CHECK(change.ok() == row.isSound);
+    CHECK(change.ok() == row.isValid);
     if (change.ok()) {
         CHECK(change->section == "fleet");
         CHECK(change->text == "x");
@@ -82,9 +82,9 @@
     }
 }
 
-TEST_CASE("a wave's order is whole and of the right types, or an error")
+TEST_CASE("a wave order with missing keys or wrong types is rejected")
 {
-    // Before this was parsed in one place, a number where the action belongs was answered with
+    // A number in place of the action must be reported as an invalid order, not answered with
     // "internal error".
     const auto row = GENERATE(values<BodyCase>({
         {"sound", R"({"action": "halt", "token": "t"})", true},
@@ -97,7 +97,7 @@
     }));
     INFO(row.title);
     const auto order = parseWaveOrder(row.body);
-    CHECK(order.ok() == row.isSound);
+    CHECK(order.ok() == row.isValid);
     if (order.ok())
         CHECK(order->action == WaveAction::Halt);
 }
--- a/packages/entry/src/process/admin_waves.cpp
+++ b/packages/entry/src/process/admin_waves.cpp
@@ -1,4 +1,4 @@
-// The administration API's pages on waves.
+// Administration pages for maintenance waves.
 #include "admin_api.h"
 
 #include <sassafrasferry/http/clock.h>
@@ -13,7 +13,7 @@
 using http::Json;
 using http::Status;
 
-// A wave with its progress, pool by pool, and what the planner would do next.
+// Describes a wave: its progress in each pool and the next step that the planner would take.
 Json waveJson(const model::Wave &wave, const fleet::WaveRow &row, const fleet::FleetRows &rows,
               const fleet::FleetView &view)
 {
--- a/packages/entry/src/process/control.cpp
+++ b/packages/entry/src/process/control.cpp
@@ -1,4 +1,4 @@
-// The control thread: its start and stop, its health, heartbeats, and the tick of the dispatcher.
+// Start, stop and health of the control thread, its heartbeats, and the dispatcher tick.
 #include "control.h"
 #include "sleep.h"
 
@@ -52,8 +52,8 @@
     auto status = this->peers.open(this->settings.peer);
     if (!status.ok())
         return status;
-    this->parts.dispatcher.onNews([this](const policy::LeavingNews &news) {
-        asio::post(this->context, [this, news] { this->tellPeers(news); });
+    this->parts.dispatcher.setLeavingHandler([this](const policy::LeavingNews &news) {
+        asio::post(this->context, [this, news] { this->broadcastSignal(news); });
     });
     this->spawn(&Control::heartbeatLoop);
     this->spawn(&Control::documentLoop);
@@ -66,23 +66,23 @@
 
 void Control::beginStop()
 {
-    this->stopping = true;
+    this->isStopping = true;
 }
 
 Awaitable<void> Control::endStop()
 {
-    this->gone = true;
+    this->hasLeft = true;
     this->peers.broadcast(this->heartbeat());
     co_await this->lease.release();
 }
 
 Health Control::health() const
 {
-    if (this->stopping)
+    if (this->isStopping)
         return {false, "stopping"};
     if (this->versions.current()->texts.revision == 0)
         return {false, "no document yet"};
-    if (now() - this->confirmed > this->settings.control.stale)
+    if (now() - this->lastConfirmedAt > this->settings.control.stale)
         return {false, "neither the store nor a peer confirms the document's revision"};
     return {true, "ok"};
 }
@@ -112,7 +112,7 @@
 
 std::int64_t Control::fleetVersion() const
 {
-    return this->fleetKnown.version;
+    return this->fleetSnapshot.version;
 }
 
 std::int64_t Control::leaseEpoch() const
@@ -148,7 +148,7 @@
     for (;;) {
         this->parts.dispatcher.change(
             [](policy::Dispatcher &dispatcher) { return dispatcher.tick(now()); });
-        this->askForLoans();
+        this->requestLoans();
         co_await sleepFor(timer, dispatchPeriod);
     }
 }
--- a/packages/entry/src/process/control.h
+++ b/packages/entry/src/process/control.h
@@ -1,4 +1,5 @@
-// The control thread of an entry VM: heartbeats, the document, the platform's list, loans.
+// Control thread of an entry VM: heartbeats, document updates, the platform's VM list, the control
+// lease, demand reports, and loans of slots and quota between entry VMs.
 #pragma once
 
 #include "../connection/traffic_environment.h"
@@ -21,14 +22,14 @@
 
 namespace sassafrasferry::entry {
 
-/// Whether the balancer should send requests here, and if not, why.
+/// Whether the load balancer should send requests to this entry VM, with the reason if not.
 struct Health
 {
     bool isHealthy = false;
     std::string reason;
 };
 
-/// Where a version came from.
+/// Where a document version was obtained.
 enum class VersionSource { Store, Peer };
 
 constexpr auto enumNames(VersionSource)
@@ -38,26 +39,27 @@
                       EnumName{VersionSource::Peer, "peer"}};
 }
 
-/// What is known of VMs that are not simply in service in the pool of the document.
-struct FleetKnowledge
+/// The VMs whose state or pool differs from the document, as last read from the fleet rows.
+struct FleetSnapshot
 {
-    std::set<std::string> out; ///< VMs that get no new work
-    std::vector<policy::Placement> placements; ///< lent VMs, sorted
-    std::int64_t version = store::absent; ///< of the fleet's head row, when they were read
+    std::set<std::string> unavailable; ///< VMs that are given no new work
+    std::vector<policy::Placement> placements; ///< pools of VMs on loan, sorted
+    std::int64_t version = store::absent; ///< version of the fleet's head row
 };
 
-/// Runs on the control thread only, but for what is said to be thread-safe.
+/// The control loops and peer messages of an entry VM. All members run on the control thread
+/// unless documented as thread-safe.
 class Control
 {
 public:
     Control(boost::asio::io_context &context, const model::Settings &settings, ProcessParts &parts,
             VersionHolder &versions);
 
-    /// Opens the peer port and starts the loops.
+    /// Opens the peer port and starts the control loops.
     absl::Status start();
-    /// Health fails from now on; traffic goes on.
+    /// Makes the health check fail; traffic is still served.
     void beginStop();
-    /// Tells the peers that this entry VM is gone, and gives up the control lease.
+    /// Announces to the peers that this entry VM has left, and releases the control lease.
     Awaitable<void> endStop();
 
     Health health() const;
@@ -67,18 +69,18 @@
     Awaitable<absl::StatusOr<std::vector<store::HistoryEntry>>> history(std::int64_t after);
 
     Awaitable<absl::StatusOr<fleet::FleetRows>> fleetRows();
-    /// An operator starts, halts or resumes a wave.
+    /// Stores the state of a wave that an operator starts, halts or resumes.
     Awaitable<store::Commit> setWave(fleet::WaveRow wave);
-    /// What the wave planner sees.
+    /// The input of the wave planner.
     fleet::FleetView fleetView();
 
-    /// Bytes moved between this entry VM and the platform for control.
+    /// Bytes exchanged with the platform by the control thread.
     http::ClientTraffic platformTraffic() const;
     const peer::PeerLink &link() const;
     bool storeReachable() const;
     bool holdsLease() const;
     std::int64_t leaseEpoch() const;
-    /// Of the fleet's head row, when its rows were last read; 0 if they are not known.
+    /// Version of the fleet's head row when its rows were last read; 0 if they are not known.
     std::int64_t fleetVersion() const;
 
 private:
@@ -90,30 +92,30 @@
     Awaitable<void> dispatchLoop();
     Awaitable<void> leaseLoop();
     Awaitable<void> demandLoop();
-    Awaitable<void> keepLease();
+    Awaitable<void> updateLease();
     Awaitable<void> refreshDocument();
     Awaitable<bool> refreshFleet(std::int64_t fleetVersion);
     Awaitable<void> sweepClaims();
     void askPeersForDocument();
-    void takeFleet(FleetKnowledge knowledge);
+    void adoptFleet(FleetSnapshot snapshot);
     void markDraining(std::set<std::string> names);
     void spawn(Awaitable<void> (Control::*loop)());
     messages::Envelope heartbeat() const;
     void sendHeartbeats();
     void adopt(VersionPointer version, VersionSource source);
     void adoptTable(const model::Document &document);
-    bool lendsForDemand() const;
-    void tellDemand();
-    std::vector<std::string> busyOut() const;
+    bool isDemandLendingEnabled() const;
+    void reportDemand();
+    std::vector<std::string> busyDrainingVms() const;
     std::vector<policy::PoolLoad> poolLoads() const;
     std::vector<policy::PoolWish> demandWishes();
-    void take(const std::vector<std::string> &leaving);
-    void tellPeers(const policy::LeavingNews &news);
-    void askForLoans();
+    void updateLeavingVms(const std::vector<std::string> &leaving);
+    void broadcastSignal(const policy::LeavingNews &news);
+    void requestLoans();
     void receive(const messages::Envelope &envelope);
     void receiveHeartbeat(const std::string &sender, const messages::Heartbeat &heartbeat);
     void receiveSignal(const std::string &sender, const messages::WorkerSignal &signal);
-    void receiveWish(const std::string &sender, const messages::LoanWish &wish);
+    void receiveLoanWish(const std::string &sender, const messages::LoanWish &wish);
     void receiveLoan(const messages::Loan &loan);
     void receiveQuotaWish(const std::string &sender, const messages::QuotaWish &wish);
     void receiveQuotaLoan(const messages::QuotaLoan &loan);
@@ -136,22 +138,22 @@
     fleet::VmControlClient vmControl;
     fleet::WaveRunner<store::TableClient, fleet::VmControlClient> waves;
     store::ClaimSweeper<store::TableClient, store::ObjectClient> sweeper;
-    Timer documentTimer; // cancelled to read the document at once
-    bool stopping = false;
-    bool gone = false; // said to the peers
+    Timer documentTimer; // cancelled to make the document loop poll immediately
+    bool isStopping = false;
+    bool hasLeft = false; // announced in heartbeats
     bool storeIsUp = false;
-    policy::Instant confirmed{};
-    std::set<std::string> listed; // VMs that the platform's list says are leaving
-    FleetKnowledge fleetKnown;
-    policy::RoutingTable table; // in force: of the document and of `fleetKnown.placements`
-    bool fleetChanged = false; // by this process, since its rows were last read
-    policy::DemandTold demandTold;
-    policy::DemandHeard demandHeard;
-    std::optional<policy::DemandPlanner> demandPlanner; // while the lease is held
-    VersionPointer viewed; // keeps alive the document of the last fleet view
-    policy::Instant nextWish{};
-    std::size_t wishTurn = 0; // which peers are asked next
-    std::size_t heartbeatTurn = 0; // which peers hear next
+    policy::Instant lastConfirmedAt{};
+    std::set<std::string> leavingVms; // VMs on the platform's list of leaving VMs
+    FleetSnapshot fleetSnapshot;
+    policy::RoutingTable table; // compiled from the document and `fleetSnapshot.placements`
+    bool fleetChanged = false; // changed by this process since the rows were last read
+    policy::DemandTold demandReporter;
+    policy::DemandHeard demandAggregate;
+    std::optional<policy::DemandPlanner> demandPlanner; // present while the lease is held
+    VersionPointer viewedVersion; // owns the document that the last fleet view refers to
+    policy::Instant nextLoanRequest{};
+    std::size_t nextLenderIndex = 0; // index of the next peer to ask for a loan
+    std::size_t nextHeartbeatIndex = 0; // index of the next peer to send a heartbeat to
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/process/control_demand.cpp
+++ b/packages/entry/src/process/control_demand.cpp
@@ -1,5 +1,5 @@
-// Demand: measured here, told to the holder of the control lease, and, if that is this process,
-// turned into wishes for VMs.
+// Measures demand and reports it to the holder of the control lease. The holder computes the number
+// of VMs to lend to each pool.
 #include "control.h"
 #include "sleep.h"
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-bool Control::lendsForDemand() const
+bool Control::isDemandLendingEnabled() const
 {
     const auto version = this->versions.current();
     const auto &lending = version->document.lending;
@@ -31,18 +31,18 @@
 {
     asio::steady_timer timer(this->context);
     for (;;) {
-        if (this->lendsForDemand())
-            this->tellDemand();
+        if (this->isDemandLendingEnabled())
+            this->reportDemand();
         co_await sleepFor(timer, demandPeriod);
     }
 }
 
-void Control::tellDemand()
+void Control::reportDemand()
 {
     const auto current = this->parts.dispatcher.locked(
         [](policy::Dispatcher &dispatcher) { return dispatcher.demand(now()); });
     if (this->holdsLease()) {
-        this->demandHeard.heard(this->settings.name, {current, true});
+        this->demandAggregate.heard(this->settings.name, {current, true});
         return;
     }
     const auto live = this->parts.membership.locked(
@@ -52,7 +52,7 @@
             [&](policy::Membership &membership) { return membership.peer(peer.name); });
         if (!state || !state->holdsLease)
             continue;
-        const auto report = this->demandTold.due(current, peer.name, live);
+        const auto report = this->demandReporter.due(current, peer.name, live);
         if (!report.isWhole && report.pools.empty())
             return;
         messages::Envelope envelope;
@@ -73,7 +73,7 @@
     policy::DemandReport report{{}, message.whole()};
     for (int i = 0; i < message.pools_size() && i < message.milli_slots_size(); ++i)
         report.pools.push_back({message.pools(i), message.milli_slots(i) / milliSlots, 0});
-    this->demandHeard.heard(sender, report);
+    this->demandAggregate.heard(sender, report);
 }
 
 std::vector<policy::PoolLoad> Control::poolLoads() const
@@ -82,15 +82,15 @@
         [](policy::Membership &membership) { return membership.live(now()); });
     std::vector<policy::PoolLoad> loads;
     for (const auto &pool : this->table.pools) {
-        policy::PoolLoad load{pool.name, this->demandHeard.slots(pool.name, live), 0, 0, 0};
+        policy::PoolLoad load{pool.name, this->demandAggregate.slots(pool.name, live), 0, 0, 0};
         for (const auto index : pool.workers) {
             const auto &worker = this->table.workers[index];
-            const bool isOut =
-                this->fleetKnown.out.contains(worker.name) || this->listed.contains(worker.name);
+            const bool isOut = this->fleetSnapshot.unavailable.contains(worker.name)
+                               || this->leavingVms.contains(worker.name);
             load.capacity += isOut ? 0 : worker.slots;
             load.slotsPerVm = std::max<double>(load.slotsPerVm, worker.slots);
         }
-        for (const auto &placement : this->fleetKnown.placements)
+        for (const auto &placement : this->fleetSnapshot.placements)
             load.borrowed += placement.pool == pool.name ? 1 : 0;
         loads.push_back(std::move(load));
     }
@@ -99,7 +99,7 @@
 
 std::vector<policy::PoolWish> Control::demandWishes()
 {
-    if (!this->lendsForDemand())
+    if (!this->isDemandLendingEnabled())
         return {};
     const auto version = this->versions.current();
     const auto &lending = *version->document.lending;
--- a/packages/entry/src/process/control_document.cpp
+++ b/packages/entry/src/process/control_document.cpp
@@ -1,4 +1,4 @@
-// The control thread's view of the document and of VMs that leave: read, adopted, changed.
+// Reads, adopts and changes the document, the fleet rows and the platform's list of leaving VMs.
 #include "control.h"
 #include "sleep.h"
 
@@ -36,14 +36,14 @@
         co_return;
     }
     const bool isNewer = heads->revision > current->texts.revision;
-    // VMs that a change moves are marked before the change is adopted: adopted first, it would for
-    // a moment put a VM to use in its new pool that still has work of its old one.
-    if (isNewer || heads->otherVersion != this->fleetKnown.version) {
+    // Moved VMs are marked as draining before the change is adopted. Otherwise a VM could briefly
+    // be given work of its new pool while it still runs work of the old one.
+    if (isNewer || heads->otherVersion != this->fleetSnapshot.version) {
         if (!co_await this->refreshFleet(heads->otherVersion))
             co_return;
     }
     if (!isNewer) {
-        this->confirmed = now();
+        this->lastConfirmedAt = now();
         co_return;
     }
     const auto texts = co_await this->documents.load(current->texts);
@@ -51,7 +51,7 @@
         LOG(WARNING) << "event=document-load-failed " << texts.status();
         co_return;
     }
-    // A change may have come between the two readings, and moved VMs of its own.
+    // The document changed between the two reads, and that change may have moved VMs too.
     if (texts->revision != heads->revision) {
         const bool isRefreshed = co_await this->refreshFleet(store::absent);
         if (!isRefreshed)
@@ -64,7 +64,7 @@
         co_return;
     }
     this->adopt(std::move(*version), VersionSource::Store);
-    this->confirmed = now();
+    this->lastConfirmedAt = now();
 }
 
 Awaitable<bool> Control::refreshFleet(std::int64_t newVersion)
@@ -74,64 +74,65 @@
         LOG(WARNING) << "event=fleet-load-failed " << rows.status();
         co_return false;
     }
-    FleetKnowledge knowledge{{}, {}, newVersion};
+    FleetSnapshot snapshot{{}, {}, newVersion};
     for (const auto &vm : rows->vms) {
         if (vm.state != fleet::VmState::Lent)
-            knowledge.out.insert(vm.name);
+            snapshot.unavailable.insert(vm.name);
         if (vm.isLoan() && vm.pool != vm.home)
-            knowledge.placements.push_back({vm.name, vm.pool});
+            snapshot.placements.push_back({vm.name, vm.pool});
     }
-    this->takeFleet(std::move(knowledge));
+    this->adoptFleet(std::move(snapshot));
     co_return true;
 }
 
-void Control::takeFleet(FleetKnowledge knowledge)
+void Control::adoptFleet(FleetSnapshot snapshot)
 {
-    std::sort(knowledge.placements.begin(), knowledge.placements.end());
-    // While the table changes, VMs that were out and those that will be get no work: taken back
-    // first, a VM on its way would for a moment be of use in the pool that it has left.
-    auto outMeanwhile = knowledge.out;
-    outMeanwhile.insert(this->fleetKnown.out.begin(), this->fleetKnown.out.end());
-    this->markDraining(std::move(outMeanwhile));
-    if (knowledge.placements != this->fleetKnown.placements) {
+    std::sort(snapshot.placements.begin(), snapshot.placements.end());
+    // While the routing table changes, VMs unavailable before or after the change are given no
+    // work. If they were released first, a VM in transit could briefly be used in its old pool.
+    auto unavailableMeanwhile = snapshot.unavailable;
+    unavailableMeanwhile.insert(this->fleetSnapshot.unavailable.begin(),
+                                this->fleetSnapshot.unavailable.end());
+    this->markDraining(std::move(unavailableMeanwhile));
+    if (snapshot.placements != this->fleetSnapshot.placements) {
         std::string list;
-        for (const auto &placement : knowledge.placements)
+        for (const auto &placement : snapshot.placements)
             list += (list.empty() ? "" : ",") + placement.vm + ":" + placement.pool;
         this->parts.log.write({"placements", "", {{"vms", list.empty() ? "-" : list}}});
-        this->fleetKnown.placements = std::move(knowledge.placements);
+        this->fleetSnapshot.placements = std::move(snapshot.placements);
         this->adoptTable(this->versions.current()->document);
     }
-    this->markDraining(std::move(knowledge.out));
-    this->fleetKnown.version = knowledge.version;
+    this->markDraining(std::move(snapshot.unavailable));
+    this->fleetSnapshot.version = snapshot.version;
 }
 
 void Control::markDraining(std::set<std::string> names)
 {
     this->parts.dispatcher.locked([&](policy::Dispatcher &dispatcher) {
-        for (const auto &name : this->fleetKnown.out) {
+        for (const auto &name : this->fleetSnapshot.unavailable) {
             if (!names.contains(name))
                 dispatcher.drained(name);
         }
         for (const auto &name : names)
             dispatcher.setLeaving(name, policy::LeavingSignal::Draining, now());
     });
-    if (names != this->fleetKnown.out) {
+    if (names != this->fleetSnapshot.unavailable) {
         std::string list;
         for (const auto &name : names)
             list += (list.empty() ? "" : ",") + name;
         this->parts.log.write({"draining", "", {{"vms", list.empty() ? "-" : list}}});
     }
-    this->fleetKnown.out = std::move(names);
+    this->fleetSnapshot.unavailable = std::move(names);
 }
 
 void Control::adoptTable(const model::Document &document)
 {
-    this->table = policy::compileRoutingTable(document, this->fleetKnown.placements);
+    this->table = policy::compileRoutingTable(document, this->fleetSnapshot.placements);
     this->parts.dispatcher.change([&](policy::Dispatcher &dispatcher) {
         dispatcher.expect(this->table);
-        for (const auto &name : this->listed)
+        for (const auto &name : this->leavingVms)
             dispatcher.setLeaving(name, policy::LeavingSignal::List, now());
-        for (const auto &name : this->fleetKnown.out)
+        for (const auto &name : this->fleetSnapshot.unavailable)
             dispatcher.setLeaving(name, policy::LeavingSignal::Draining, now());
         return dispatcher.adopt(this->table, now());
     });
@@ -142,14 +143,14 @@
     const auto before = this->versions.current();
     if (version->texts.revision <= before->texts.revision)
         return;
-    // What the store would say of VMs that move is not known from a peer: they get no work until
-    // it, or a peer that has read it, says where they are.
+    // The stored placement of moved VMs is not known when the document comes from a peer. These VMs
+    // are given no work until the store, or a peer that has read it, provides the placement.
     if (source == VersionSource::Peer) {
-        auto names = this->fleetKnown.out;
+        auto names = this->fleetSnapshot.unavailable;
         for (const auto &move : fleet::movesBetween(before->document, version->document))
             names.insert(move.vm);
         this->markDraining(std::move(names));
-        this->fleetKnown.version = store::absent;
+        this->fleetSnapshot.version = store::absent;
     }
     this->parts.log.write({"revision",
                            "",
@@ -159,7 +160,7 @@
                             {"services", std::to_string(version->table.services.size())}}});
     this->adoptTable(version->document);
     this->versions.advance(version);
-    this->sendHeartbeats(); // some peers learn the new revision at once, all by their next poll
+    this->sendHeartbeats(); // some peers learn the revision now, the others at their next poll
 }
 
 Awaitable<void> Control::listLoop()
@@ -168,30 +169,30 @@
     for (;;) {
         const auto leaving = co_await this->list.leaving();
         if (leaving.ok())
-            this->take(*leaving);
+            this->updateLeavingVms(*leaving);
         co_await sleepFor(timer, this->settings.control.listPoll);
     }
 }
 
-void Control::take(const std::vector<std::string> &leaving)
+void Control::updateLeavingVms(const std::vector<std::string> &leaving)
 {
     const std::set<std::string> next(leaving.begin(), leaving.end());
     std::vector<policy::LeavingNews> news;
     for (const auto &name : next) {
-        if (!this->listed.contains(name))
+        if (!this->leavingVms.contains(name))
             news.push_back({name, policy::LeavingSignal::List});
     }
-    for (const auto &name : this->listed) {
+    for (const auto &name : this->leavingVms) {
         if (!next.contains(name))
             news.push_back({name, policy::LeavingSignal::None});
     }
-    this->listed = next;
+    this->leavingVms = next;
     for (const auto &item : news) {
         const bool isNew = this->parts.dispatcher.locked([&](policy::Dispatcher &dispatcher) {
             return dispatcher.setLeaving(item.worker, item.signal, now());
         });
         if (isNew)
-            this->tellPeers(item);
+            this->broadcastSignal(item);
     }
 }
 
--- a/packages/entry/src/process/control_lease.cpp
+++ b/packages/entry/src/process/control_lease.cpp
@@ -1,4 +1,5 @@
-// What the holder of the control lease does: waves, moves, and the deletion of old claims.
+// Acquires the control lease and does the work of its holder: waves, moves and deletion of old
+// claims.
 #include "control.h"
 #include "sleep.h"
 
@@ -24,15 +25,15 @@
 {
     asio::steady_timer timer(this->context);
     bool held = false;
-    while (!this->stopping) {
-        co_await this->keepLease();
+    while (!this->isStopping) {
+        co_await this->updateLease();
         if (this->holdsLease()) {
             auto view = this->fleetView();
             view.wishes = this->demandWishes();
             const auto status = co_await this->waves.step(view, this->lease.fence());
             if (!status.ok())
                 LOG(WARNING) << "event=waves-failed " << status;
-            // All entry VMs must know of a change before the next step of it: tell them at once.
+            // Every entry VM must know of a fleet change before its next step, so announce it now.
             if (std::exchange(this->fleetChanged, false))
                 this->documentTimer.cancel();
             co_await this->sweepClaims();
@@ -50,7 +51,7 @@
     }
 }
 
-Awaitable<void> Control::keepLease()
+Awaitable<void> Control::updateLease()
 {
     const bool isCutOff = this->parts.membership.locked(
         [](policy::Membership &membership) { return membership.cutOff(now()); });
@@ -58,8 +59,9 @@
         co_await this->lease.step(now);
         co_return;
     }
-    // A holder that does not hear its peers never learns that they know of a drain: every wave
-    // would stand for as long as the cut lasts. One that hears them goes on in its place.
+    // A holder that receives no heartbeats cannot learn that its peers know of a drain, so every
+    // wave would stall until the partition ends. It releases the lease so that a
+    // connected entry VM can take over.
     if (this->holdsLease())
         co_await this->lease.release();
 }
@@ -87,14 +89,15 @@
 
 fleet::FleetView Control::fleetView()
 {
-    this->viewed = this->versions.current();
-    fleet::FleetView view{this->viewed->document, {}, this->viewed->texts.revision, unixNow()};
-    for (const auto &name : this->listed) {
-        if (!this->fleetKnown.out.contains(name))
+    this->viewedVersion = this->versions.current();
+    fleet::FleetView view{
+        this->viewedVersion->document, {}, this->viewedVersion->texts.revision, unixNow()};
+    for (const auto &name : this->leavingVms) {
+        if (!this->fleetSnapshot.unavailable.contains(name))
             view.failed.insert(name);
     }
-    view.fleetVersionEverywhere = this->fleetKnown.version;
-    const auto busyHere = this->busyOut();
+    view.fleetVersionEverywhere = this->fleetSnapshot.version;
+    const auto busyHere = this->busyDrainingVms();
     view.busy.insert(busyHere.begin(), busyHere.end());
     this->parts.membership.locked([&](policy::Membership &membership) {
         for (const auto &name : membership.live(now())) {
--- a/packages/entry/src/process/control_peers.cpp
+++ b/packages/entry/src/process/control_peers.cpp
@@ -1,4 +1,4 @@
-// What the control thread tells other entry VMs, and what it does with what they tell.
+// Sends messages to the other entry VMs and handles the messages received from them.
 #include "control.h"
 
 #include <sassafrasferry/http/clock.h>
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr auto wishPeriod = std::chrono::milliseconds(100);
-constexpr std::size_t peersAskedAtOnce = 2;
+constexpr auto loanRequestPeriod = std::chrono::milliseconds(100);
+constexpr std::size_t peersPerLoanRequest = 2;
 
 constexpr auto now = http::steadyNow;
 
@@ -22,30 +22,31 @@
     auto &heartbeat = *envelope.mutable_heartbeat();
     heartbeat.set_incarnation(this->parts.incarnation);
     heartbeat.set_revision(this->versions.current()->texts.revision);
-    heartbeat.set_leaving(this->gone);
-    heartbeat.set_fleet_version(this->fleetKnown.version);
+    heartbeat.set_leaving(this->hasLeft);
+    heartbeat.set_fleet_version(this->fleetSnapshot.version);
     heartbeat.set_holds_lease(this->holdsLease());
-    for (const auto &name : this->busyOut())
+    for (const auto &name : this->busyDrainingVms())
         heartbeat.add_busy(name);
     return envelope;
 }
 
-std::vector<std::string> Control::busyOut() const
+std::vector<std::string> Control::busyDrainingVms() const
 {
-    if (this->fleetKnown.out.empty())
+    if (this->fleetSnapshot.unavailable.empty())
         return {};
     return this->parts.dispatcher.locked(
         [](policy::Dispatcher &dispatcher) { return dispatcher.busyDraining(); });
 }
 
-// To some peers in turn: what heartbeats cost must not grow with the square of the entry VMs.
+// Sends to a fixed number of peers in rotation, so that the total number of heartbeats does not
+// grow with the square of the number of entry VMs.
 void Control::sendHeartbeats()
 {
     const auto envelope = this->heartbeat();
     const auto count = std::min(policy::heartbeatFanOut, this->settings.peers.size());
     for (std::size_t i = 0; i < count; ++i) {
         const auto &peer =
-            this->settings.peers[this->heartbeatTurn++ % this->settings.peers.size()];
+            this->settings.peers[this->nextHeartbeatIndex++ % this->settings.peers.size()];
         this->peers.send(peer.name, envelope);
     }
 }
@@ -55,18 +56,18 @@
     const auto own = this->versions.current()->texts.revision;
     messages::Envelope envelope;
     envelope.mutable_document_request()->set_have_revision(own);
-    envelope.mutable_document_request()->set_have_fleet_version(this->fleetKnown.version);
+    envelope.mutable_document_request()->set_have_fleet_version(this->fleetSnapshot.version);
     for (const auto &peer : this->settings.peers) {
         const auto state = this->parts.membership.locked(
             [&](policy::Membership &membership) { return membership.peer(peer.name); });
         const bool knowsMore =
-            state && (state->revision > own || state->fleetVersion > this->fleetKnown.version);
+            state && (state->revision > own || state->fleetVersion > this->fleetSnapshot.version);
         if (knowsMore && this->peers.send(peer.name, envelope))
             break;
     }
 }
 
-void Control::tellPeers(const policy::LeavingNews &news)
+void Control::broadcastSignal(const policy::LeavingNews &news)
 {
     this->parts.log.write({"worker-signal",
                            "",
@@ -80,9 +81,9 @@
     this->peers.broadcast(envelope);
 }
 
-void Control::askForLoans()
+void Control::requestLoans()
 {
-    if (now() < this->nextWish || this->settings.peers.empty())
+    if (now() < this->nextLoanRequest || this->settings.peers.empty())
         return;
     const auto wishes = this->parts.dispatcher.locked(
         [](policy::Dispatcher &dispatcher) { return dispatcher.loanWishes(now()); });
@@ -90,14 +91,16 @@
         [](policy::Dispatcher &dispatcher) { return dispatcher.quotaWishes(now()); });
     if (wishes.empty() && quotaWishes.empty())
         return;
-    this->nextWish = now() + wishPeriod;
-    for (std::size_t i = 0; i < peersAskedAtOnce; ++i) {
-        const auto &peer = this->settings.peers[this->wishTurn++ % this->settings.peers.size()];
+    this->nextLoanRequest = now() + loanRequestPeriod;
+    for (std::size_t i = 0; i < peersPerLoanRequest; ++i) {
+        const auto &peer =
+            this->settings.peers[this->nextLenderIndex++ % this->settings.peers.size()];
         for (const auto &wish : wishes) {
             messages::Envelope envelope;
             envelope.mutable_loan_wish()->set_pool(wish.pool);
             envelope.mutable_loan_wish()->set_slots(wish.slots);
-            // One peer at a time is asked to stop runs, lest several stop one for the same request.
+            // Only one peer is asked to preempt runs; otherwise several could preempt one each for
+            // the same request.
             if (i == 0)
                 envelope.mutable_loan_wish()->set_urgent(wish.urgent);
             this->peers.send(peer.name, envelope);
@@ -121,7 +124,7 @@
         this->receiveSignal(envelope.sender(), envelope.worker_signal());
         break;
     case messages::Envelope::kLoanWish:
-        this->receiveWish(envelope.sender(), envelope.loan_wish());
+        this->receiveLoanWish(envelope.sender(), envelope.loan_wish());
         break;
     case messages::Envelope::kLoan:
         this->receiveLoan(envelope.loan());
@@ -158,17 +161,17 @@
     this->parts.membership.locked(
         [&](policy::Membership &membership) { membership.heard(state, now()); });
     const auto own = this->versions.current()->texts.revision;
-    if (heartbeat.revision() > own || heartbeat.fleet_version() > this->fleetKnown.version)
-        this->documentTimer.cancel(); // fetch it now
+    if (heartbeat.revision() > own || heartbeat.fleet_version() > this->fleetSnapshot.version)
+        this->documentTimer.cancel(); // fetch the newer state now
     if (heartbeat.revision() <= own && own > 0)
-        this->confirmed = now();
+        this->lastConfirmedAt = now();
 }
 
 void Control::receiveSignal(const std::string &sender, const messages::WorkerSignal &message)
 {
     const auto signal = static_cast<policy::LeavingSignal>(message.signal());
     if (model::nameOf(signal) == "?")
-        return; // from a newer version
+        return; // a signal that this software version does not know
     this->parts.dispatcher.locked([&](policy::Dispatcher &dispatcher) {
         return dispatcher.setLeaving(message.worker(), signal, now());
     });
@@ -179,7 +182,7 @@
                             {"from", sender}}});
 }
 
-void Control::receiveWish(const std::string &sender, const messages::LoanWish &wish)
+void Control::receiveLoanWish(const std::string &sender, const messages::LoanWish &wish)
 {
     policy::Loan loan;
     this->parts.dispatcher.change([&](policy::Dispatcher &dispatcher) {
@@ -237,7 +240,7 @@
 {
     const auto version = this->versions.current();
     const bool isNewer = version->texts.revision > request.have_revision();
-    const bool knowsFleet = this->fleetKnown.version > request.have_fleet_version();
+    const bool knowsFleet = this->fleetSnapshot.version > request.have_fleet_version();
     if (!isNewer && !knowsFleet)
         return;
     messages::Envelope envelope;
@@ -252,13 +255,13 @@
         changed.set_text(section.text);
         changed.set_revision(section.revision);
     }
-    reply.set_fleet_version(this->fleetKnown.version);
-    for (const auto &name : this->fleetKnown.out) {
+    reply.set_fleet_version(this->fleetSnapshot.version);
+    for (const auto &name : this->fleetSnapshot.unavailable) {
         auto &placement = *reply.add_placements();
         placement.set_vm(name);
         placement.set_out(true);
     }
-    for (const auto &item : this->fleetKnown.placements) {
+    for (const auto &item : this->fleetSnapshot.placements) {
         auto &placement = *reply.add_placements();
         placement.set_vm(item.vm);
         placement.set_pool(item.pool);
@@ -266,25 +269,26 @@
     this->peers.send(sender, envelope);
 }
 
-// What a peer knows of VMs that are out or lent, while the store cannot be read.
+// Adopts a peer's fleet snapshot while the store cannot be read.
 void Control::receiveFleet(const messages::DocumentReply &reply)
 {
-    if (this->storeIsUp || reply.fleet_version() <= this->fleetKnown.version)
+    if (this->storeIsUp || reply.fleet_version() <= this->fleetSnapshot.version)
         return;
-    FleetKnowledge knowledge{{}, {}, reply.fleet_version()};
+    FleetSnapshot snapshot{{}, {}, reply.fleet_version()};
     for (const auto &placement : reply.placements()) {
         if (placement.out())
-            knowledge.out.insert(placement.vm());
+            snapshot.unavailable.insert(placement.vm());
         else
-            knowledge.placements.push_back({placement.vm(), placement.pool()});
+            snapshot.placements.push_back({placement.vm(), placement.pool()});
     }
-    this->takeFleet(std::move(knowledge));
+    this->adoptFleet(std::move(snapshot));
 }
 
 void Control::receiveDocument(const messages::DocumentReply &reply)
 {
-    // Before the document, so that it never puts a lent VM to use at home; and after it, since
-    // it makes what was known of moved VMs uncertain.
+    // The fleet snapshot is applied before the document, so that the document does not put a lent
+    // VM to use in its home pool, and again after it, because adopting a document from a peer
+    // invalidates the snapshot.
     this->receiveFleet(reply);
     this->receiveTexts(reply);
     this->receiveFleet(reply);
--- a/packages/entry/src/process/control_store.cpp
+++ b/packages/entry/src/process/control_store.cpp
@@ -1,4 +1,4 @@
-// Crossing to the control thread and back.
+// Runs store operations on the control thread and returns their results to the caller.
 #include "control_store.h"
 
 namespace sassafrasferry::entry {
--- a/packages/entry/src/process/control_store.h
+++ b/packages/entry/src/process/control_store.h
@@ -1,4 +1,4 @@
-// The platform's store as traffic threads use it: every call runs on the control thread.
+// Access to the platform's store for traffic threads; every call runs on the control thread.
 #pragma once
 
 #include <sassafrasferry/store/claim_rows.h>
@@ -24,12 +24,12 @@
     Awaitable<absl::Status> putObject(std::string name, std::string body);
     Awaitable<absl::StatusOr<std::string>> getObject(std::string name);
 
-    /// The number of live entry VMs, which share the store's writes. For the control thread only.
+    /// Sets the number of live entry VMs that share the store's write budget. Control thread only.
     void setEntries(std::size_t entries);
-    /// For the control thread only.
+    /// Control thread only.
     store::TableClient &tables();
     store::ObjectClient &objectStore();
-    /// Transactions that carried claims.
+    /// Number of store transactions that contained claims.
     std::size_t transactions() const;
 
 private:
--- a/packages/entry/src/process/daemon.cpp
+++ b/packages/entry/src/process/daemon.cpp
@@ -17,7 +17,7 @@
 
 namespace asio = boost::asio;
 
-// Milliseconds since 1970 grow from start to start of the same entry VM.
+// Milliseconds since 1970, so that each start of an entry VM has a higher incarnation.
 std::uint64_t newIncarnation()
 {
     return static_cast<std::uint64_t>(http::unixNow());
@@ -101,7 +101,7 @@
     const auto status = this->start();
     if (!status.ok()) {
         LOG(ERROR) << "event=start-failed " << status;
-        return exit_code::failed;
+        return exit_code::bindFailed;
     }
     for (const auto &thread : this->traffic)
         thread->thread = std::thread([&thread] { thread->context.run(); });
@@ -126,23 +126,23 @@
     co_await signals.async_wait(asio::use_awaitable);
     asio::co_spawn(
         this->controlContext, [this] { return this->stop(); }, asio::detached);
-    // A second signal ends the wait for what is in flight.
+    // A second signal ends the wait for requests in flight.
     co_await signals.async_wait(asio::use_awaitable);
-    if (!this->isDone())
-        this->noteCut("signal");
+    if (!this->isIdle())
+        this->recordInterruption("signal");
     this->controlContext.stop();
 }
 
-void Daemon::noteCut(const char *why)
+void Daemon::recordInterruption(const char *why)
 {
     for (const auto &id : this->parts.inFlight.ids())
         this->parts.log.write({"cut", id, {{"why", why}}});
     LOG(WARNING) << "event=cut busy=" << this->callerServer->busySessions()
                  << " claims=" << this->parts.leftOvers << " why=" << why;
-    this->exitCode = exit_code::cut;
+    this->exitCode = exit_code::interrupted;
 }
 
-bool Daemon::isDone() const
+bool Daemon::isIdle() const
 {
     return this->callerServer->sessionCount() == 0 && this->parts.leftOvers == 0;
 }
@@ -154,22 +154,22 @@
               << " busy=" << this->callerServer->busySessions();
     const auto deadline = std::chrono::steady_clock::now() + times.stopDeadline;
     asio::steady_timer timer(this->controlContext);
-    // Health fails first; requests that the balancer still sends meanwhile are served.
+    // The health check fails first; requests are served until the load balancer has noticed.
     this->control->beginStop();
     timer.expires_after(times.balancerLag);
     co_await timer.async_wait(asio::use_awaitable);
     this->callerServer->stopAccepting();
     this->callerServer->closeSessions();
     constexpr auto period = std::chrono::milliseconds(20);
-    while (!this->isDone() && std::chrono::steady_clock::now() < deadline) {
+    while (!this->isIdle() && std::chrono::steady_clock::now() < deadline) {
         timer.expires_after(period);
         co_await timer.async_wait(asio::use_awaitable);
-        this->callerServer->closeSessions(); // those taken in after the first call
+        this->callerServer->closeSessions(); // sessions accepted after the first call
     }
-    if (!this->isDone())
-        this->noteCut("deadline");
+    if (!this->isIdle())
+        this->recordInterruption("deadline");
     co_await this->control->endStop();
-    // The last heartbeat is in ZeroMQ's hands; its thread needs a moment to send it.
+    // ZeroMQ sends the last heartbeat on its own thread, which needs a moment to do so.
     timer.expires_after(period);
     co_await timer.async_wait(asio::use_awaitable);
     this->controlContext.stop();
--- a/packages/entry/src/process/daemon.h
+++ b/packages/entry/src/process/daemon.h
@@ -15,12 +15,12 @@
 /// Exit codes of `sassafrasferryd`.
 namespace exit_code {
 constexpr int ok = 0;
-constexpr int usage = 2; ///< the command line or the settings are faulty
-constexpr int cut = 3; ///< the stop deadline cut off requests in flight
-constexpr int failed = 4; ///< an address could not be bound
+constexpr int usage = 2; ///< invalid command line or settings
+constexpr int interrupted = 3; ///< the stop deadline or a second signal cut off requests
+constexpr int bindFailed = 4; ///< an address could not be bound
 } // namespace exit_code
 
-/// Runs an entry VM until it is told to stop.
+/// Runs an entry VM until a signal requests a stop.
 class Daemon
 {
 public:
@@ -36,8 +36,8 @@
     absl::Status start();
     Awaitable<void> waitForSignals();
     Awaitable<void> stop();
-    void noteCut(const char *why);
-    bool isDone() const;
+    void recordInterruption(const char *why);
+    bool isIdle() const;
 
     model::Settings settings;
     boost::asio::io_context controlContext;
@@ -50,7 +50,8 @@
     Metrics metrics;
     ProcessParts parts;
     VersionHolder versions;
-    // After what requests refer to: those that a stop cuts off end when this does.
+    // Declared after the members that requests refer to: requests interrupted by a stop are
+    // destroyed together with their traffic thread.
     std::vector<std::unique_ptr<TrafficThread>> traffic;
     std::unique_ptr<Control> control;
     std::unique_ptr<AdminApi> admin;
--- a/packages/entry/src/process/decision_log.cpp
+++ b/packages/entry/src/process/decision_log.cpp
@@ -1,4 +1,4 @@
-// Decision lines.
+// Formats, logs and stores decision lines.
 #include "decision_log.h"
 
 #include <glog/logging.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Callers choose some of the values; a line feed in one must not forge a line of its own.
+// Some values are chosen by callers; a line feed in a value must not forge a log line.
 std::string quoted(const std::string &value)
 {
     if (!value.empty() && value.find_first_of(" \"\n\r\t\\=") == std::string::npos)
@@ -44,16 +44,16 @@
     if (line.requestId.empty())
         return;
     const std::lock_guard lock(this->mutex);
-    if (this->remembered.size() >= mostRemembered)
-        this->remembered.pop_front();
-    this->remembered.push_back({line.requestId, std::move(text)});
+    if (this->entries.size() >= maxEntries)
+        this->entries.pop_front();
+    this->entries.push_back({line.requestId, std::move(text)});
 }
 
 std::vector<std::string> DecisionLog::linesOf(const std::string &requestId)
 {
     const std::lock_guard lock(this->mutex);
     std::vector<std::string> lines;
-    for (const auto &item : this->remembered) {
+    for (const auto &item : this->entries) {
         if (item.requestId == requestId)
             lines.push_back(item.line);
     }
--- a/packages/entry/src/process/decision_log.h
+++ b/packages/entry/src/process/decision_log.h
@@ -1,4 +1,4 @@
-// One line for each decision, in the log and in a bounded memory that `explain` reads.
+// Writes one line per decision to the log and to a bounded in-memory buffer read by `explain`.
 #pragma once
 
 #include <deque>
@@ -15,7 +15,7 @@
     std::string value;
 };
 
-/// A decision: what happened, for which request (empty: none), and its fields.
+/// A decision: its event, the id of its request (empty if none), and its fields.
 struct DecisionLine
 {
     std::string event;
@@ -23,29 +23,29 @@
     std::vector<LogField> fields;
 };
 
-/// The line as it is logged: `event=E request=R key=value ...`. Values that hold spaces, quotes or
-/// line feeds are quoted.
+/// Formats the line for the log: `event=E request=R key=value ...`. Values that hold spaces, quotes
+/// or line feeds are quoted.
 std::string toString(const DecisionLine &line);
 
-/// Logs decisions and remembers the last of them.
+/// Logs decisions and keeps the most recent ones of requests. Thread-safe.
 class DecisionLog
 {
 public:
     void write(const DecisionLine &line);
-    /// The remembered lines of a request, oldest first.
+    /// The stored lines of a request, oldest first.
     std::vector<std::string> linesOf(const std::string &requestId);
 
 private:
-    static constexpr std::size_t mostRemembered = 20000;
+    static constexpr std::size_t maxEntries = 20000;
 
-    struct Remembered
+    struct Entry
     {
         std::string requestId;
         std::string line;
     };
 
     std::mutex mutex;
-    std::deque<Remembered> remembered;
+    std::deque<Entry> entries;
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/process/in_flight.cpp
+++ b/packages/entry/src/process/in_flight.cpp
@@ -1,4 +1,4 @@
-// Marking requests.
+// Registers and lists requests in flight.
 #include "in_flight.h"
 
 namespace sassafrasferry::entry {
--- a/packages/entry/src/process/in_flight.h
+++ b/packages/entry/src/process/in_flight.h
@@ -1,4 +1,4 @@
-// The requests that are being served, by their ids, so that a stop can name those that it cuts off.
+// Tracks the ids of requests being served, so that a stop can log the ones that it interrupts.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace sassafrasferry::entry {
 
-/// Shared by all threads.
+/// Registry of requests in flight. Thread-safe.
 class InFlight
 {
 public:
-    /// Counts a request as in flight for as long as it lives.
+    /// Registers a request as in flight for the lifetime of this object.
     class Mark
     {
     public:
@@ -27,7 +27,7 @@
         std::uint64_t number;
     };
 
-    /// Ids of the requests in flight, oldest first. A caller may use an id twice.
+    /// Ids of the requests in flight, oldest first. An id is listed twice if two requests use it.
     std::vector<std::string> ids() const;
 
 private:
--- a/packages/entry/src/process/in_flight_test.cpp
+++ b/packages/entry/src/process/in_flight_test.cpp
@@ -1,4 +1,4 @@
-// Requests in flight, by name.
+// Tracking of requests in flight.
 #include "in_flight.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 using namespace sassafrasferry::entry;
 
-TEST_CASE("a stop names what is in flight, an id that is used twice too")
+TEST_CASE("requests in flight are listed oldest first, including two with the same id")
 {
     using Ids = std::vector<std::string>;
     InFlight requests;
--- a/packages/entry/src/process/metrics.cpp
+++ b/packages/entry/src/process/metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics by Boost.Accumulators, written out by prometheus-cpp.
+// Collects metrics with Boost.Accumulators and serialises them with prometheus-cpp.
 #include "metrics.h"
 
 #include <prometheus/metric_family.h>
@@ -31,25 +31,25 @@
     return family;
 }
 
-prometheus::MetricFamily familyOf(const Reading &reading)
+prometheus::MetricFamily familyOf(const MetricSample &sample)
 {
     prometheus::MetricFamily family;
-    family.name = reading.name;
-    family.help = reading.help;
+    family.name = sample.name;
+    family.help = sample.help;
     family.type =
-        reading.isCounter ? prometheus::MetricType::Counter : prometheus::MetricType::Gauge;
+        sample.isCounter ? prometheus::MetricType::Counter : prometheus::MetricType::Gauge;
     return family;
 }
 
-prometheus::ClientMetric metricOf(const Reading &reading)
+prometheus::ClientMetric metricOf(const MetricSample &sample)
 {
     prometheus::ClientMetric metric;
-    if (!reading.labelName.empty())
-        metric.label.push_back({reading.labelName, reading.labelValue});
-    if (reading.isCounter)
-        metric.counter.value = reading.value;
+    if (!sample.labelName.empty())
+        metric.label.push_back({sample.labelName, sample.labelValue});
+    if (sample.isCounter)
+        metric.counter.value = sample.value;
     else
-        metric.gauge.value = reading.value;
+        metric.gauge.value = sample.value;
     return metric;
 }
 
@@ -84,7 +84,7 @@
     ++this->runs[result];
 }
 
-std::string Metrics::exposition(const std::vector<Reading> &readings)
+std::string Metrics::exposition(const std::vector<MetricSample> &samples)
 {
     std::vector<prometheus::MetricFamily> families;
     {
@@ -116,10 +116,10 @@
         }
         families.push_back(std::move(latency));
     }
-    for (const auto &reading : readings) {
-        if (families.back().name != reading.name)
-            families.push_back(familyOf(reading));
-        families.back().metric.push_back(metricOf(reading));
+    for (const auto &sample : samples) {
+        if (families.back().name != sample.name)
+            families.push_back(familyOf(sample));
+        families.back().metric.push_back(metricOf(sample));
     }
     return prometheus::TextSerializer().Serialize(families);
 }
--- a/packages/entry/src/process/metrics.h
+++ b/packages/entry/src/process/metrics.h
@@ -1,4 +1,4 @@
-// Counters and latencies of this entry VM, and their exposition.
+// Request counters and latencies of this entry VM, and their export in Prometheus format.
 #pragma once
 
 #include "../request/request_types.h"
@@ -14,12 +14,12 @@
 
 namespace sassafrasferry::entry {
 
-/// A gauge or counter that is read when metrics are asked for.
-struct Reading
+/// A gauge or counter whose value is read at the time of a scrape.
+struct MetricSample
 {
     std::string name;
     std::string help;
-    std::string labelName; ///< empty: no label
+    std::string labelName; ///< empty if there is no label
     std::string labelValue;
     double value = 0;
     bool isCounter = false;
@@ -37,7 +37,7 @@
     void sent(policy::RunResult result);
 
     /// All metrics in the Prometheus text format.
-    std::string exposition(const std::vector<Reading> &readings);
+    std::string exposition(const std::vector<MetricSample> &samples);
 
 private:
     using Latency = boost::accumulators::accumulator_set<
--- a/packages/entry/src/process/shared_dispatcher.cpp
+++ b/packages/entry/src/process/shared_dispatcher.cpp
@@ -1,4 +1,4 @@
-// Waiting for the dispatcher.
+// Suspends and resumes requests that wait for a slot.
 #include "shared_dispatcher.h"
 
 namespace sassafrasferry::entry {
@@ -13,9 +13,9 @@
     : dispatcher(settings, entry, seed)
 {}
 
-void SharedDispatcher::onNews(News newNews)
+void SharedDispatcher::setLeavingHandler(LeavingHandler handler)
 {
-    this->news = std::move(newNews);
+    this->leavingHandler = std::move(handler);
 }
 
 Awaitable<SlotResult> SharedDispatcher::slot(policy::Submission submission,
@@ -32,7 +32,7 @@
         co_return std::move(*grant);
     if (const auto *refusal = std::get_if<Refusal>(&admission))
         co_return *refusal;
-    // The waiter is known before the lock is let go, so no grant can miss it.
+    // The waiter is registered before the lock is released, so that no grant is lost.
     auto result =
         co_await http::awaitCallback<SlotResult>([this, id, &cancellation, &lock](Done done) {
             this->waiters.emplace(id, std::move(done));
@@ -47,7 +47,7 @@
 {
     std::unique_lock lock(this->mutex);
     if (!this->dispatcher.cancel(id))
-        return; // granted or refused meanwhile; the result is on its way
+        return; // already granted or refused; the result is being delivered
     const auto at = this->waiters.find(id);
     auto done = std::move(at->second);
     this->waiters.erase(at);
@@ -67,7 +67,8 @@
 void SharedDispatcher::finish(const policy::RunReport &report, policy::Instant now)
 {
     this->change([&](policy::Dispatcher &policyDispatcher) {
-        // In one step with the end of the run: a stop in between would be kept for nobody.
+        // Erased under the same lock as the end of the run: a preemption in between would leave an
+        // entry that is never removed.
         this->stops.erase(report.id);
         return policyDispatcher.finish(report, now);
     });
@@ -106,8 +107,8 @@
     for (auto &wakeUp : wakeUps)
         wakeUp.done(std::move(wakeUp.result));
     for (const auto &item : changes.news) {
-        if (this->news)
-            this->news(item);
+        if (this->leavingHandler)
+            this->leavingHandler(item);
     }
 }
 
--- a/packages/entry/src/process/shared_dispatcher.h
+++ b/packages/entry/src/process/shared_dispatcher.h
@@ -1,5 +1,5 @@
-// The dispatcher, shared by the traffic threads and the control thread. A decision takes about a
-// microsecond, so one lock serves all of them.
+// The dispatcher, shared by the traffic threads and the control thread. A decision takes about one
+// microsecond, so a single lock is sufficient.
 #pragma once
 
 #include "../request/cancellation.h"
@@ -16,26 +16,26 @@
 
 using http::Awaitable;
 
-/// Serialises access to a `policy::Dispatcher` and wakes requests that wait for it.
+/// Serialises access to a `policy::Dispatcher` and resumes requests that wait for a slot.
 class SharedDispatcher
 {
 public:
-    /// Called, on whatever thread, when this entry VM is the first to learn that a worker leaves.
-    using News = std::function<void(const policy::LeavingNews &)>;
+    /// Called on any thread when this entry VM is the first to learn that a worker is leaving.
+    using LeavingHandler = std::function<void(const policy::LeavingNews &)>;
 
     SharedDispatcher(const model::RoutingSettings &settings, const std::string &entry,
                      std::uint64_t seed);
 
-    /// Set before traffic begins.
-    void onNews(News news);
+    /// Must be called before traffic begins.
+    void setLeavingHandler(LeavingHandler handler);
 
-    /// A slot for a request, or its refusal. Suspends while it waits.
+    /// Returns a slot for a request, or its refusal. Suspends while the request is queued.
     Awaitable<SlotResult> slot(policy::Submission submission, Cancellation &cancellation);
 
-    /// Calls `stop` once, on whatever thread, if a granted request must make room; at once if it
-    /// had to before this call.
+    /// Calls `stop` once, on any thread, when the granted request is preempted; immediately if it
+    /// has been preempted before this call.
     void whenPreempted(policy::RequestId id, std::function<void()> stop);
-    /// A granted request has ended.
+    /// Reports the end of a granted request.
     void finish(const policy::RunReport &report, policy::Instant now);
 
     /// Calls `use(dispatcher)` under the lock.
@@ -46,7 +46,7 @@
         return use(this->dispatcher);
     }
 
-    /// Calls `use(dispatcher)` under the lock, and wakes those whom the changes concern.
+    /// Calls `use(dispatcher)` under the lock and notifies the requests affected by its changes.
     template<typename Use>
     void change(Use use)
     {
@@ -73,14 +73,14 @@
     std::vector<std::function<void()>> takeStops(const policy::Changes &changes);
     void deliver(std::vector<WakeUp> &wakeUps, const policy::Changes &changes);
 
-    std::mutex mutex; // guards all below but `news`
+    std::mutex mutex; // guards all members below except `leavingHandler`
     policy::Dispatcher dispatcher;
     std::unordered_map<policy::RequestId, Done> waiters; // one for each waiting request
-    // One for each preemptible request that runs; empty once it has been told to stop, or if it is
-    // to be told when it says how.
+    // Stop handlers of running preemptible requests. The handler is empty if it has been called, or
+    // if the request was preempted before it registered a handler.
     std::unordered_map<policy::RequestId, std::function<void()>> stops;
     std::uint64_t lastId = 0;
-    News news;
+    LeavingHandler leavingHandler;
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/process/shared_dispatcher_test.cpp
+++ b/packages/entry/src/process/shared_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Stops of running requests, between the thread that decides them and the one that runs them.
+// Preemption of running requests: the control thread decides, a traffic thread runs the request.
 #include "shared_dispatcher.h"
 
 #include <sassafrasferry/fakes/run.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// One worker with one slot, and a service of background work.
+// One worker with one slot and one service.
 policy::RoutingTable table()
 {
     policy::RoutingTable result;
@@ -39,7 +39,7 @@
     return submission;
 }
 
-// A background request that runs, and an urgent one that waits for its slot.
+// A running background request and an urgent request that waits for its slot.
 struct Fixture
 {
     http::asio::io_context context{1};
@@ -64,8 +64,9 @@
         this->context.poll();
     }
 
-    // The tick at which the urgent request has waited too long.
-    void tickLater()
+    // Ticks the dispatcher one minute ahead, when the urgent request has waited long enough to
+    // preempt.
+    void tickAfterPreemptionDelay()
     {
         this->dispatcher.change([](policy::Dispatcher &inner) {
             return inner.tick(std::chrono::steady_clock::now() + 1min);
@@ -84,29 +85,30 @@
 
 } // namespace
 
-TEST_CASE("a stop reaches the request, whether it is decided before or after the request says how")
+TEST_CASE("a preemption before or after the stop handler is registered stops the request once")
 {
-    // The grant is on its way to its traffic thread when the control thread decides to stop it.
-    // Were the stop lost then, the run would go on while its slot counts as coming free.
+    // The control thread may preempt a request while its grant is still on the way to the traffic
+    // thread. If that stop were lost, the run would continue while its slot is expected to be
+    // freed.
     const bool isEarly = GENERATE(true, false);
     Fixture fixture;
     REQUIRE(fixture.running.preemptible);
     int stops = 0;
     if (isEarly)
-        fixture.tickLater();
+        fixture.tickAfterPreemptionDelay();
     fixture.dispatcher.whenPreempted(fixture.running.id, [&] { ++stops; });
     if (!isEarly)
-        fixture.tickLater();
-    fixture.tickLater();
+        fixture.tickAfterPreemptionDelay();
+    fixture.tickAfterPreemptionDelay();
     CHECK(stops == 1);
 }
 
-TEST_CASE("a request that has ended is not stopped")
+TEST_CASE("the stop handler of a finished request is not called")
 {
     Fixture fixture;
     int stops = 0;
     fixture.dispatcher.whenPreempted(fixture.running.id, [&] { ++stops; });
     fixture.finish();
-    fixture.tickLater();
+    fixture.tickAfterPreemptionDelay();
     CHECK(stops == 0);
 }
--- a/packages/entry/src/process/shared_membership.cpp
+++ b/packages/entry/src/process/shared_membership.cpp
@@ -1,4 +1,4 @@
-// Membership under a lock.
+// Membership and active operations under one lock.
 #include "shared_membership.h"
 
 namespace sassafrasferry::entry {
--- a/packages/entry/src/process/shared_membership.h
+++ b/packages/entry/src/process/shared_membership.h
@@ -1,5 +1,4 @@
-// Who is live, and which operations are under way: written by the control thread and by traffic
-// threads, read by all.
+// Live entry VMs and active operations, shared by the control thread and the traffic threads.
 #pragma once
 
 #include <sassafrasferry/policy/claim.h>
@@ -26,7 +25,7 @@
     }
 
     void setActive(const std::string &operationId, bool isActive);
-    /// True if the request that made the claim may still be under way, here or elsewhere.
+    /// True if the request that made the claim may still be running on this or another entry VM.
     bool mayBeActive(const policy::Claim &claim);
 
 private:
@@ -34,7 +33,7 @@
     std::string self;
     std::uint64_t incarnation;
     policy::Membership membership;
-    std::set<std::string> active; // operations of this process
+    std::set<std::string> active; // operation ids of this process
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/process/sleep.h
+++ b/packages/entry/src/process/sleep.h
@@ -1,4 +1,4 @@
-// Waiting in the loops of the control thread.
+// Cancellable sleep for the loops of the control thread.
 #pragma once
 
 #include <sassafrasferry/http/await_callback.h>
@@ -11,7 +11,7 @@
 
 namespace sassafrasferry::entry {
 
-/// Waits until the time is over or the timer is cancelled.
+/// Waits until the duration has elapsed or the timer is cancelled.
 inline http::Awaitable<void> sleepFor(boost::asio::steady_timer &timer,
                                       std::chrono::milliseconds duration)
 {
