--- a/packages/program/include/sassafrasferry/program/command_line.h
+++ b/packages/program/include/sassafrasferry/program/command_line.h
@@ -1,4 +1,4 @@
-// The command line of a program, by its usage text.
+// Command line parsing by docopt usage text, shared by all programs.
 #pragma once
 
 #include <docopt/docopt.h>
@@ -14,17 +14,18 @@
 /// Exit codes that all programs share.
 namespace exit_code {
 constexpr int ok = 0;
-constexpr int usage = 2; ///< the command line or a file is faulty
+constexpr int usage = 2; ///< invalid command line or file
 } // namespace exit_code
 
-/// Either arguments, or the code with which the program is to end at once.
+/// The parsed arguments, or the exit code with which the program must end immediately.
 struct CommandLine
 {
     Arguments arguments;
     std::optional<int> exitCode;
 };
 
-/// Answers help and version itself. `usage` is in docopt's form.
+/// Parses the command line by `usage`, a docopt text. Prints the help, the version or the error
+/// itself.
 CommandLine parseCommandLine(const std::string &name, const std::string &usage, int argc,
                              const char *const *argv);
 
--- a/packages/program/include/sassafrasferry/program/text_file.h
+++ b/packages/program/include/sassafrasferry/program/text_file.h
@@ -1,4 +1,4 @@
-// Files that a program reads whole, and settings in them.
+// Reads text files and settings files.
 #pragma once
 
 #include <sassafrasferry/model/finding.h>
@@ -8,10 +8,10 @@
 
 namespace sassafrasferry::program {
 
-/// The text of a file; nothing if it can't be read, which adds a finding.
+/// Returns the text of a file. If the file can't be read, adds a finding and returns nothing.
 std::optional<std::string> readText(const std::string &path, model::Findings &findings);
 
-/// Settings, and all that is wrong with them.
+/// Parsed settings and the findings of their parser.
 template<typename Settings>
 struct ReadSettings
 {
@@ -19,7 +19,7 @@
     model::Findings findings;
 };
 
-/// Reads a settings file. `Parse` takes the text, the path and the findings, to which it adds.
+/// Reads a settings file. `parse` is called with the text, the path and the findings to add to.
 template<typename Parse>
 auto readSettings(const std::string &path, Parse parse)
 {
--- a/packages/program/src/command_line.cpp
+++ b/packages/program/src/command_line.cpp
@@ -1,4 +1,4 @@
-// The command line of a program, by its usage text.
+// Command line parsing by docopt usage text.
 #include <sassafrasferry/program/command_line.h>
 
 #include <iostream>
--- a/packages/program/src/command_line_test.cpp
+++ b/packages/program/src/command_line_test.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("A command line is arguments or the end of the program")
+TEST_CASE("A command line gives either arguments or an exit code")
 {
     const auto row = GENERATE(from_range(cases));
     CAPTURE(row.words.size());
--- a/packages/program/src/text_file.cpp
+++ b/packages/program/src/text_file.cpp
@@ -1,4 +1,4 @@
-// Files that a program reads whole, and settings in them.
+// Reads text files.
 #include <sassafrasferry/program/text_file.h>
 
 #include <fstream>
--- a/packages/program/src/text_file_test.cpp
+++ b/packages/program/src/text_file_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A file that is gone after the test.
+/// A temporary file that the destructor removes.
 struct ScratchFile
 {
     explicit ScratchFile(const std::string &text)
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("Settings are read whole, with what their parser finds")
+TEST_CASE("The whole settings file is parsed and the findings of its parser are returned")
 {
     const ScratchFile file("a\nb\n");
     const auto read = readSettings(
@@ -44,7 +44,7 @@
     CHECK(read.findings.size() == 1);
 }
 
-TEST_CASE("A file that can't be read is a finding, and is not parsed")
+TEST_CASE("An unreadable settings file gives a finding and is not parsed")
 {
     bool parsed = false;
     const auto read = readSettings(
