--- a/packages/entry/src/connection/traffic_environment.cpp
+++ b/packages/entry/src/connection/traffic_environment.cpp
@@ -1,4 +1,4 @@
-// The daemon's side of `RequestEnvironment`.
+// Implements `RequestEnvironment` with the daemon's dispatcher, store and HTTP clients.
 #include "traffic_environment.h"
 
 #include "../request/claim_settler.h"
@@ -15,9 +15,9 @@
 
 namespace asio = boost::asio;
 
-constexpr std::chrono::milliseconds askTimeout{1000};
-constexpr int leftOverRounds = 50;
-constexpr int detailLevel = 1; // of glog's verbose log
+constexpr std::chrono::milliseconds queryTimeout{1000};
+constexpr int maxFollowUpAttempts = 50;
+constexpr int stepLogLevel = 1; // verbosity level in glog
 
 http::Request upstreamRequest(const CallerRequest &request, const SendOptions &options)
 {
@@ -145,7 +145,7 @@
 
 void TrafficEnvironment::reached(const CallerRequest &request, RequestStep step)
 {
-    VLOG(detailLevel) << "event=step request=" << request.id << " step=" << model::nameOf(step);
+    VLOG(stepLogLevel) << "event=step request=" << request.id << " step=" << model::nameOf(step);
 }
 
 Awaitable<SlotResult> TrafficEnvironment::slot(policy::Submission submission,
@@ -197,7 +197,7 @@
     cancellation.whenRequested([abort] { abort->abort(); });
     auto isPreempted = std::make_shared<bool>(false);
     if (grant.preemptible)
-        this->parts.dispatcher.whenPreempted(grant.id, this->stopper(abort, isPreempted));
+        this->parts.dispatcher.whenPreempted(grant.id, this->preemptionHandler(abort, isPreempted));
     auto message = upstreamRequest(request, options);
     auto exchange = co_await this->upstreams.client(grant.address)
                         .exchange(std::move(message), options.timeout, abort);
@@ -214,8 +214,8 @@
     co_return result;
 }
 
-std::function<void()> TrafficEnvironment::stopper(std::shared_ptr<http::Abort> abort,
-                                                  std::shared_ptr<bool> isPreempted)
+std::function<void()> TrafficEnvironment::preemptionHandler(std::shared_ptr<http::Abort> abort,
+                                                            std::shared_ptr<bool> isPreempted)
 {
     return [this, abort = std::move(abort), isPreempted = std::move(isPreempted)] {
         asio::post(this->ownExecutor, [abort, isPreempted] {
@@ -225,15 +225,15 @@
     };
 }
 
-Awaitable<policy::WorkerWord> TrafficEnvironment::askWorker(std::string address,
-                                                            std::string operationId)
+Awaitable<policy::WorkerWord> TrafficEnvironment::queryWorker(std::string address,
+                                                              std::string operationId)
 {
     const auto endpoint = model::parseEndpoint(address);
     if (!endpoint)
         co_return policy::WorkerWord{};
     http::Request message{http::Verb::get, "/runs/" + operationId, 11};
     auto exchange =
-        co_await this->upstreams.client(*endpoint).exchange(std::move(message), askTimeout);
+        co_await this->upstreams.client(*endpoint).exchange(std::move(message), queryTimeout);
     auto word = workerWord(exchange);
     this->parts.log.write({"ask-worker",
                            "",
@@ -274,20 +274,21 @@
     return this->parts.membership.mayBeActive(claim);
 }
 
-void TrafficEnvironment::leaveOver(policy::Claim claim, std::int64_t version, LeftOver leftOver)
+void TrafficEnvironment::scheduleFollowUp(policy::Claim claim, std::int64_t version,
+                                          ClaimFollowUp followUp)
 {
     ++this->parts.leftOvers;
-    store::VersionedClaim left;
-    left.claim = std::move(claim);
-    left.version = version;
+    store::VersionedClaim pending;
+    pending.claim = std::move(claim);
+    pending.version = version;
     asio::co_spawn(
         this->ownExecutor,
-        [this, left = std::move(left), leftOver]() -> Awaitable<void> {
-            const bool isDone = co_await finishLeftOver(*this, left, leftOver, leftOverRounds);
-            this->parts.log.write({"claim-left-over",
+        [this, pending = std::move(pending), followUp]() -> Awaitable<void> {
+            const bool isDone = co_await runFollowUp(*this, pending, followUp, maxFollowUpAttempts);
+            this->parts.log.write({"claim-pending-over",
                                    "",
-                                   {{"operation", left.claim.operationId},
-                                    {"worker", left.claim.worker},
+                                   {{"operation", pending.claim.operationId},
+                                    {"worker", pending.claim.worker},
                                     {"settled", isDone ? "yes" : "no"}}});
             --this->parts.leftOvers;
         },
--- a/packages/entry/src/connection/traffic_environment.h
+++ b/packages/entry/src/connection/traffic_environment.h
@@ -1,4 +1,4 @@
-// What requests of one traffic thread work with: the dispatcher, the workers and the store.
+// Gives the requests of one traffic thread access to the dispatcher, the workers and the store.
 #pragma once
 
 #include "../process/control_store.h"
@@ -12,23 +12,23 @@
 
 namespace sassafrasferry::entry {
 
-/// The parts of the process that all traffic threads share.
+/// Components of the process that all traffic threads share.
 struct ProcessParts
 {
     std::string entryName;
     std::uint64_t incarnation = 0;
-    std::string incarnationName; ///< entry name and incarnation; a prefix for unique ids
+    std::string incarnationName; ///< entry name and incarnation, the prefix of unique IDs
     SharedDispatcher &dispatcher;
     SharedMembership &membership;
     ControlStore &store;
     DecisionLog &log;
     Metrics &metrics;
     InFlight inFlight{};
-    std::atomic<std::uint64_t> lastId{0}; ///< of requests and operations
-    std::atomic<std::size_t> leftOvers{0}; ///< claims being finished after their answer
+    std::atomic<std::uint64_t> lastId{0}; ///< last ID given to a request or operation
+    std::atomic<std::size_t> leftOvers{0}; ///< claims being settled in the background
 };
 
-/// Fulfils `RequestEnvironment` for one traffic thread.
+/// Implements `RequestEnvironment` for one traffic thread.
 class TrafficEnvironment
 {
 public:
@@ -51,7 +51,7 @@
 
     Awaitable<SendResult> send(const policy::Grant &grant, const CallerRequest &request,
                                SendOptions options, Cancellation &cancellation);
-    Awaitable<policy::WorkerWord> askWorker(std::string address, std::string operationId);
+    Awaitable<policy::WorkerWord> queryWorker(std::string address, std::string operationId);
 
     Awaitable<absl::StatusOr<store::VersionedClaim>> readClaim(std::string key);
     Awaitable<store::WriteResult> writeClaim(policy::Claim claim, std::int64_t version);
@@ -60,15 +60,15 @@
 
     void setActive(const std::string &operationId, bool isActive);
     bool mayBeActive(const policy::Claim &claim);
-    void leaveOver(policy::Claim claim, std::int64_t version, LeftOver leftOver);
+    void scheduleFollowUp(policy::Claim claim, std::int64_t version, ClaimFollowUp followUp);
 
     ProcessParts &process();
     http::asio::any_io_executor executor() const;
 
 private:
-    // Ends an exchange from another thread, and notes why.
-    std::function<void()> stopper(std::shared_ptr<http::Abort> abort,
-                                  std::shared_ptr<bool> isPreempted);
+    // Returns a function that aborts an exchange from any thread and sets `isPreempted`.
+    std::function<void()> preemptionHandler(std::shared_ptr<http::Abort> abort,
+                                            std::shared_ptr<bool> isPreempted);
 
     http::asio::any_io_executor ownExecutor;
     ProcessParts &parts;
--- a/packages/entry/src/connection/upstream_pool.cpp
+++ b/packages/entry/src/connection/upstream_pool.cpp
@@ -1,4 +1,4 @@
-// Connections to workers.
+// Creates the HTTP clients for workers on first use.
 #include "upstream_pool.h"
 
 namespace sassafrasferry::entry {
--- a/packages/entry/src/connection/upstream_pool.h
+++ b/packages/entry/src/connection/upstream_pool.h
@@ -1,4 +1,4 @@
-// Connections of one traffic thread to the workers.
+// Pool of HTTP clients through which one traffic thread reaches the workers.
 #pragma once
 
 #include "../request/request_types.h"
@@ -11,11 +11,11 @@
 
 namespace sassafrasferry::entry {
 
-/// One HTTP client for each worker's address, made when first used.
+/// Holds one HTTP client for each worker address, created on first use.
 class UpstreamPool
 {
 public:
-    /// `idleConnections`: kept for each worker at the most.
+    /// `idleConnections` is the maximum number of idle connections kept for each worker.
     UpstreamPool(http::asio::any_io_executor executor, std::size_t idleConnections);
 
     http::Client &client(const model::Endpoint &endpoint);
--- a/packages/entry/src/request/answers.cpp
+++ b/packages/entry/src/request/answers.cpp
@@ -1,4 +1,4 @@
-// The HTTP status and text of each answer that is not a worker's.
+// Maps refusals and errors of the entry VM to HTTP status codes and bodies.
 #include "answers.h"
 
 namespace sassafrasferry::entry {
@@ -67,7 +67,7 @@
     return answer;
 }
 
-CallerAnswer ownAnswer(Outcome outcome, AnswerReason reason, policy::Duration retryAfter)
+CallerAnswer entryAnswer(Outcome outcome, AnswerReason reason, policy::Duration retryAfter)
 {
     CallerAnswer answer;
     answer.outcome = outcome;
--- a/packages/entry/src/request/caller_handler.cpp
+++ b/packages/entry/src/request/caller_handler.cpp
@@ -1,4 +1,4 @@
-// Between HTTP and the flows of requests.
+// Parses HTTP requests, runs them through the idempotent or keyed flow, and builds HTTP responses.
 #include "caller_handler.h"
 
 #include "idempotent_flow.h"
@@ -19,12 +19,12 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t longestKey = 255;
-constexpr std::size_t longestId = 64;
-constexpr std::int64_t longestTimeout = 24LL * 3600 * 1000;
+constexpr std::size_t maxKeyBytes = 255;
+constexpr std::size_t maxIdBytes = 64;
+constexpr std::int64_t maxTimeoutMilliseconds = 24LL * 3600 * 1000;
 constexpr int fingerprintHexDigits = 16;
 
-// Lives until both the caller has its answer and the request has run to its end.
+// State of one request, kept until its caller has an answer and the request has finished.
 struct RequestContext
 {
     VersionPointer version;
@@ -33,9 +33,9 @@
     Cancellation cancellation;
 };
 
-struct Fault
+struct RequestError
 {
-    std::string message; // empty: none
+    std::string message; // empty if the request is valid
 };
 
 std::string serviceOf(const std::string &target)
@@ -50,18 +50,19 @@
     const auto isPlain = [](unsigned char character) {
         return std::isgraph(character) != 0;
     };
-    return !text.empty() && text.size() <= longestId
+    return !text.empty() && text.size() <= maxIdBytes
            && std::all_of(text.begin(), text.end(), isPlain);
 }
 
-Fault readDeadline(const http::Request &message, RequestContext &context, policy::Instant now)
+RequestError readDeadline(const http::Request &message, RequestContext &context,
+                          policy::Instant now)
 {
     auto timeout = context.service ? context.service->deadline : std::chrono::milliseconds(1000);
     const auto text = http::fieldOf(message, http::header::requestTimeout);
     std::int64_t milliseconds = 0;
     if (!text.empty()) {
         if (!absl::SimpleAtoi(text, &milliseconds) || milliseconds < 1
-            || milliseconds > longestTimeout)
+            || milliseconds > maxTimeoutMilliseconds)
             return {"Request-Timeout-Ms must be a number of milliseconds"};
         timeout = std::chrono::milliseconds(milliseconds);
     }
@@ -69,7 +70,7 @@
     return {};
 }
 
-Fault readClass(const http::Request &message, RequestContext &context)
+RequestError readClass(const http::Request &message, RequestContext &context)
 {
     const auto text = http::fieldOf(message, http::header::requestClass);
     if (context.service)
@@ -79,13 +80,13 @@
     const auto requested = model::valueOf<model::RequestClass>(text);
     if (!requested)
         return {"Request-Class must be one of " + model::allNames<model::RequestClass>()};
-    // A caller may give way, but not press forward of what the service's section grants it.
+    // A caller may lower the priority of its request, but not raise it above the service's class.
     context.request.requestClass = std::max(context.request.requestClass, *requested);
     return {};
 }
 
-Fault readRequest(http::Request &message, RequestContext &context, const std::string &newId,
-                  policy::Instant now)
+RequestError readRequest(http::Request &message, RequestContext &context, const std::string &newId,
+                         policy::Instant now)
 {
     auto &request = context.request;
     const auto givenId = http::fieldOf(message, http::header::requestId);
@@ -98,14 +99,14 @@
     request.idempotencyKey = http::fieldOf(message, http::header::idempotencyKey);
     request.body = std::move(message.body());
     context.service = context.version->table.service(request.service);
-    if (request.idempotencyKey.size() > longestKey)
+    if (request.idempotencyKey.size() > maxKeyBytes)
         return {"Idempotency-Key is longer than 255 bytes"};
-    auto fault = readDeadline(message, context, now);
-    if (!fault.message.empty())
-        return fault;
-    fault = readClass(message, context);
-    if (!fault.message.empty())
-        return fault;
+    auto error = readDeadline(message, context, now);
+    if (!error.message.empty())
+        return error;
+    error = readClass(message, context);
+    if (!error.message.empty())
+        return error;
     request.fingerprint =
         store::sha256(request.method + "\n" + request.target + "\n" + request.body);
     request.job = std::strtoull(request.fingerprint.substr(0, fingerprintHexDigits).c_str(),
@@ -142,15 +143,15 @@
     return response;
 }
 
-// The answer of a keyed request, or the news that it is not known by the deadline. The run goes on
-// either way.
+// Returns the answer of a keyed request, or `DeadlinePassed` if there is none by the deadline. The
+// request then continues in the background.
 Awaitable<CallerAnswer> answerByDeadline(TrafficEnvironment &environment,
                                          std::shared_ptr<RequestContext> context)
 {
     using Done = std::function<void(CallerAnswer)>;
     struct Race
     {
-        Done done; // empty once it has been called
+        Done done; // reset when the answer has been delivered
         asio::steady_timer timer;
     };
     auto race = std::make_shared<Race>(Race{nullptr, asio::steady_timer(environment.executor())});
@@ -163,7 +164,7 @@
                     return;
                 const auto retryAfter = environment.retryAfter(context->request.service);
                 std::exchange(race->done, nullptr)(
-                    ownAnswer(model::Outcome::Unknown, AnswerReason::DeadlinePassed, retryAfter));
+                    entryAnswer(model::Outcome::Unknown, AnswerReason::DeadlinePassed, retryAfter));
             });
         asio::co_spawn(
             environment.executor(),
@@ -183,7 +184,7 @@
                               std::shared_ptr<RequestContext> context)
 {
     if (!context->service) {
-        // Before the first document nothing can be said about a service; soon it can.
+        // Services are unknown until the first document is loaded, so the caller should retry soon.
         const bool isStarting = context->version->texts.revision == 0;
         const policy::Refusal refusal{{},
                                       isStarting ? policy::RefusalReason::Starting
@@ -225,9 +226,9 @@
     auto context = std::make_shared<RequestContext>();
     context->version = versions.current();
     const auto begin = environment.now();
-    const auto fault = readRequest(message, *context, environment.newOperationId(), begin);
-    if (!fault.message.empty()) {
-        auto response = http::textResponse(http::Status::bad_request, fault.message + "\n");
+    const auto error = readRequest(message, *context, environment.newOperationId(), begin);
+    if (!error.message.empty()) {
+        auto response = http::textResponse(http::Status::bad_request, error.message + "\n");
         response.set(http::header::outcome, "not-run");
         co_return response;
     }
--- a/packages/entry/src/request/caller_handler.h
+++ b/packages/entry/src/request/caller_handler.h
@@ -1,4 +1,4 @@
-// Callers' HTTP requests in, answers with their outcome out.
+// Handles the HTTP requests of callers and answers each with the outcome of its request.
 #pragma once
 
 #include "../connection/traffic_environment.h"
@@ -9,7 +9,7 @@
 namespace sassafrasferry::entry {
 
 /// Handles one caller's request on a traffic thread. The first segment of the path names the
-/// service; the whole target goes to the worker.
+/// service; the worker receives the complete target.
 Awaitable<http::Response> handleCaller(TrafficEnvironment &environment,
                                        const VersionHolder &versions, http::Request message,
                                        std::shared_ptr<http::Disconnect> disconnect);
--- a/packages/entry/src/request/cancellation.h
+++ b/packages/entry/src/request/cancellation.h
@@ -1,4 +1,4 @@
-// Tells what works for a request that its caller has gone.
+// Notifies the operations of a request that its caller has disconnected.
 #pragma once
 
 #include <functional>
@@ -6,17 +6,18 @@
 
 namespace sassafrasferry::entry {
 
-/// Passed along with a request; used on the request's executor.
+/// Cancellation signal of one request. Not thread-safe: used only on the request's executor.
 class Cancellation
 {
 public:
-    /// What to do if the caller goes while something is awaited; nullptr once it no longer is.
+    /// Sets the action to run on cancellation while an operation is awaited. Pass nullptr when the
+    /// operation has ended.
     void whenRequested(std::function<void()> action)
     {
         this->action = std::move(action);
     }
 
-    /// The caller is gone.
+    /// Requests cancellation, because the caller has disconnected, and runs the action once.
     void request()
     {
         this->isRequested = true;
--- a/packages/entry/src/request/claim_settler.h
+++ b/packages/entry/src/request/claim_settler.h
@@ -1,5 +1,5 @@
-// Settles claims whose request is no longer under way: when an entry VM died, when an answer broke
-// off, when the store gave no answer. Any entry VM may do so at any time.
+// Settles claims whose request is no longer in progress because an entry VM died, an answer was cut
+// off, or the store did not respond. Any entry VM may do so at any time.
 #pragma once
 
 #include "environment.h"
@@ -9,21 +9,23 @@
 
 namespace sassafrasferry::entry {
 
-/// Times of keyed requests.
-struct KeyedTimes
+/// Timeouts and size limits of keyed requests.
+struct KeyedRequestLimits
 {
-    /// A worker refuses to start a request later than this after its claim.
+    /// Time after the claim within which a worker may start the request; it refuses it later.
     std::chrono::milliseconds startWindow{2000};
-    /// Left of the start window when a request is sent, or it is not sent.
+    /// Minimum remainder of the start window; with less time left the request is not sent.
     std::chrono::milliseconds startMargin{200};
-    std::chrono::milliseconds firstPoll{50}; ///< of a claim that is in progress
-    std::chrono::milliseconds longestPoll{500};
-    /// A larger answer goes to the object store.
-    std::size_t inlineBytes = 16UL * 1024;
+    /// Delay before an open claim is polled again; doubled after each poll up to the maximum.
+    std::chrono::milliseconds initialPollInterval{50};
+    std::chrono::milliseconds maxPollInterval{500};
+    /// Largest answer body that is stored in the claim's row; larger ones go to the object store.
+    std::size_t maxInlineBytes = 16UL * 1024;
 };
 
-/// Settles a claim whose request is no longer under way, by asking the worker that it names.
-/// Any entry VM may do this at any time: the writes are conditional on the claim's version.
+/// Settles a claim whose request is no longer in progress by querying the worker named in the
+/// claim. Any entry VM may do this at any time, because writes are conditional on the claim's
+/// version.
 template<RequestEnvironment Environment>
 class ClaimSettler
 {
@@ -32,20 +34,20 @@
         : environment(environment)
     {}
 
-    /// What is known after asking once.
+    /// Result of querying the worker once.
     struct Settled
     {
         policy::Settlement settlement = policy::Settlement::Open;
         policy::WorkerWord word;
-        store::VersionedClaim current; ///< as written, if it was settled
+        store::VersionedClaim current; ///< the settled claim if it was written
     };
 
     Awaitable<Settled> settle(store::VersionedClaim existing)
     {
         Settled settled;
         settled.current = existing;
-        settled.word = co_await this->environment.askWorker(existing.claim.workerAddress,
-                                                            existing.claim.operationId);
+        settled.word = co_await this->environment.queryWorker(existing.claim.workerAddress,
+                                                              existing.claim.operationId);
         settled.settlement = policy::decideSettlement(existing.claim, settled.word);
         if (settled.settlement == policy::Settlement::Open)
             co_return settled;
@@ -69,10 +71,10 @@
         co_return settled;
     }
 
-    /// Moves a large body to the object store.
+    /// Moves a body above `maxInlineBytes` to the object store.
     static Awaitable<absl::Status> storeBody(Environment &environment, policy::Claim &claim)
     {
-        if (claim.answer.body.size() <= KeyedTimes{}.inlineBytes)
+        if (claim.answer.body.size() <= KeyedRequestLimits{}.maxInlineBytes)
             co_return absl::OkStatus();
         const auto name = claim.operationId;
         const auto status = co_await environment.putObject(name, claim.answer.body);
@@ -87,50 +89,52 @@
     Environment &environment;
 };
 
-/// Goes on with a claim after its request has been answered, until it is settled or `rounds` tries
-/// have been made. What stays open is settled by the next request with the same key.
+/// Settles a claim in the background after its request was answered, with at most `maxAttempts`
+/// attempts. Returns false if the claim is still open; the next request with the same key then
+/// settles it.
 template<RequestEnvironment Environment>
-Awaitable<bool> finishLeftOver(Environment &environment, store::VersionedClaim left,
-                               LeftOver leftOver, int rounds)
+Awaitable<bool> runFollowUp(Environment &environment, store::VersionedClaim pending,
+                            ClaimFollowUp followUp, int maxAttempts)
 {
-    constexpr std::chrono::milliseconds firstPause{100};
-    constexpr std::chrono::milliseconds longestPause{5000};
-    auto pause = firstPause;
+    constexpr std::chrono::milliseconds initialBackoff{100};
+    constexpr std::chrono::milliseconds maxBackoff{5000};
+    auto backoff = initialBackoff;
     ClaimSettler<Environment> settler(environment);
-    for (int round = 0; round < rounds; ++round) {
-        if (round > 0) {
-            co_await environment.pause(pause);
-            pause = std::min(2 * pause, longestPause);
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
+        if (attempt > 0) {
+            co_await environment.pause(backoff);
+            backoff = std::min(2 * backoff, maxBackoff);
         }
-        if (leftOver == LeftOver::AskWorker) {
-            const auto settled = co_await settler.settle(left);
+        if (followUp == ClaimFollowUp::QueryWorker) {
+            const auto settled = co_await settler.settle(pending);
             if (settled.settlement != policy::Settlement::Open)
                 co_return true;
         } else {
-            if (leftOver == LeftOver::StoreAnswer) {
+            if (followUp == ClaimFollowUp::StoreAnswer) {
                 const auto stored =
-                    co_await ClaimSettler<Environment>::storeBody(environment, left.claim);
+                    co_await ClaimSettler<Environment>::storeBody(environment, pending.claim);
                 if (!stored.ok())
                     continue;
             } else {
-                left.claim.settle(policy::ClaimState::NotRun, environment.unixNow());
+                pending.claim.settle(policy::ClaimState::NotRun, environment.unixNow());
             }
-            const auto written = co_await environment.writeClaim(left.claim, left.version);
+            const auto written = co_await environment.writeClaim(pending.claim, pending.version);
             if (written.state == store::WriteState::Written)
                 co_return true;
             if (written.state != store::WriteState::Conflict)
                 continue;
         }
-        // The row has moved on: by our own unanswered write, or by another entry VM.
-        const auto current = co_await environment.readClaim(left.claim.key);
+        // The row has changed, either by a write of ours whose response was lost or by another
+        // entry VM.
+        const auto current = co_await environment.readClaim(pending.claim.key);
         if (!current.ok())
             continue;
         const bool isOurs = current->version != store::absent
-                            && current->claim.operationId == left.claim.operationId
+                            && current->claim.operationId == pending.claim.operationId
                             && current->claim.state == policy::ClaimState::Claimed;
-        if (current->version != left.version && !isOurs)
+        if (current->version != pending.version && !isOurs)
             co_return true;
-        left.version = current->version;
+        pending.version = current->version;
     }
     co_return false;
 }
--- a/packages/entry/src/request/environment.h
+++ b/packages/entry/src/request/environment.h
@@ -1,5 +1,5 @@
-// What a request needs of the entry VM around it. The daemon provides it over sockets, tests
-// provide fakes on a virtual clock.
+// Interface of a request flow to its entry VM: clock, dispatcher, workers and store. The daemon
+// implements it over sockets; tests implement fakes on a virtual clock.
 #pragma once
 
 #include "cancellation.h"
@@ -20,9 +20,9 @@
                                       Cancellation &cancellation, const policy::Grant &grant,
                                       const CallerRequest &request, SendOptions options,
                                       policy::RunReport report, std::string text,
-                                      policy::Claim claim, std::int64_t version, LeftOver leftOver,
-                                      RequestStep step, policy::Duration duration,
-                                      std::uint64_t number)
+                                      policy::Claim claim, std::int64_t version,
+                                      ClaimFollowUp followUp, RequestStep step,
+                                      policy::Duration duration, std::uint64_t number)
 {
     {
         environment.now()
@@ -42,10 +42,10 @@
     {
         environment.newOperationId()
         } -> std::same_as<std::string>;
-    // The point has been reached.
+    // Reports that the request has reached a step.
     {environment.reached(request, step)};
 
-    // The dispatcher.
+    // Dispatcher
     {
         environment.slot(submission, cancellation)
         } -> std::same_as<Awaitable<SlotResult>>;
@@ -60,15 +60,15 @@
         environment.retryAfter(text)
         } -> std::same_as<policy::Duration>;
 
-    // The workers.
+    // Workers
     {
         environment.send(grant, request, options, cancellation)
         } -> std::same_as<Awaitable<SendResult>>;
     {
-        environment.askWorker(text, text)
+        environment.queryWorker(text, text)
         } -> std::same_as<Awaitable<policy::WorkerWord>>;
 
-    // The store.
+    // Store
     {
         environment.readClaim(text)
         } -> std::same_as<Awaitable<absl::StatusOr<store::VersionedClaim>>>;
@@ -82,14 +82,14 @@
         environment.getObject(text)
         } -> std::same_as<Awaitable<absl::StatusOr<std::string>>>;
 
-    // An operation of this entry VM is under way, or no longer is.
+    // Marks an operation of this entry VM as in progress or as ended.
     {environment.setActive(text, true)};
-    // True if the request that made the claim may still be under way.
+    // Returns true if the request that wrote the claim may still be in progress.
     {
         environment.mayBeActive(claim)
         } -> std::same_as<bool>;
-    // Goes on with a claim after its request has been answered.
-    {environment.leaveOver(claim, version, leftOver)};
+    // Settles a claim in the background after its request was answered.
+    {environment.scheduleFollowUp(claim, version, followUp)};
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/request/fault_matrix_test.cpp
+++ b/packages/entry/src/request/fault_matrix_test.cpp
@@ -1,6 +1,6 @@
-// The fault matrix of requests that are not idempotent: every fault at every named step, alone and
-// in pairs. After each run the faults are healed and the caller sends the same key again through
-// another entry VM until it knows the outcome. Checked against what the workers really ran.
+// Fault matrix of requests that are not idempotent: every fault at every step, alone and in pairs.
+// After each run the faults are removed, and the caller resends the same key through another entry
+// VM until it knows the outcome. Answers are compared with the runs that the workers started.
 #include "../../tests/fault_matrix.h"
 
 #include <catch2/catch.hpp>
@@ -8,17 +8,17 @@
 using namespace sassafrasferry;
 using namespace sassafrasferry::entry;
 
-TEST_CASE("without a fault every step is passed")
+TEST_CASE("a request without faults reaches every step")
 {
-    // A step that no request passes would leave its row of the matrix empty.
-    Run run(Sabotage::None, large);
+    // No fault would ever be injected at a step that no request reaches.
+    Run run(Mutation::None, large);
     CHECK(run.violation({}).empty());
-    CHECK(run.seen().size() == enumNames(RequestStep{}).size());
+    CHECK(run.reachedSteps().size() == enumNames(RequestStep{}).size());
 }
 
-TEST_CASE("every fault at every step")
+TEST_CASE("a keyed request runs at most once under any single fault at any step")
 {
-    const auto tally = runSingles(Sabotage::None);
+    const auto tally = runSingleFaults(Mutation::None);
     std::cout << "fault matrix: " << enumNames(Fault{}).size() << " faults x "
               << enumNames(RequestStep{}).size() << " steps x 2 answer sizes, " << tally.runs
               << " runs, " << tally.violations << " violations\n";
@@ -26,7 +26,7 @@
     CHECK(tally.violations == 0);
 }
 
-TEST_CASE("every two faults, at every two steps")
+TEST_CASE("a keyed request runs at most once under any pair of faults")
 {
     Tally tally;
     const auto cells = allCells();
@@ -36,7 +36,7 @@
         for (const auto &b : cells) {
             if (b.fault == Fault::None || b.step < a.step)
                 continue;
-            tally.add({a, b}, Run(Sabotage::None, small).violation({a, b}));
+            tally.add({a, b}, Run(Mutation::None, small).violation({a, b}));
         }
     }
     std::cout << "fault matrix, pairs: " << tally.runs << " runs, " << tally.violations
@@ -45,14 +45,14 @@
     CHECK(tally.violations == 0);
 }
 
-TEST_CASE("the matrix notices when a safeguard is taken out")
+TEST_CASE("the fault matrix fails when a safeguard is disabled")
 {
-    const auto sabotage =
-        GENERATE(Sabotage::WorkersStartLate, Sabotage::ClaimsUnconditional, Sabotage::ClaimsSkipped,
-                 Sabotage::BrokenMeansNotRun, Sabotage::RestartsHidden);
-    const auto tally = sabotage == Sabotage::RestartsHidden ? runRestartsBeforeDeaths(sabotage)
-                                                            : runSingles(sabotage);
-    std::cout << "without safeguard (" << model::nameOf(sabotage) << "): " << tally.violations
+    const auto mutation =
+        GENERATE(Mutation::WorkersStartLate, Mutation::ClaimsUnconditional, Mutation::ClaimsSkipped,
+                 Mutation::BrokenMeansNotRun, Mutation::RestartsHidden);
+    const auto tally = mutation == Mutation::RestartsHidden ? runRestartsBeforeDeaths(mutation)
+                                                            : runSingleFaults(mutation);
+    std::cout << "without safeguard (" << model::nameOf(mutation) << "): " << tally.violations
               << " of " << tally.runs << " runs violate, first: " << tally.firstViolation << "\n";
     CHECK(tally.violations > 0);
 }
--- a/packages/entry/src/request/idempotent_flow.h
+++ b/packages/entry/src/request/idempotent_flow.h
@@ -1,4 +1,4 @@
-// The way of an idempotent request: slot, worker, and on to another worker if that fails.
+// Serves idempotent requests: acquires a slot, sends the request, retries it on another worker.
 #pragma once
 
 #include "answers.h"
@@ -6,10 +6,10 @@
 
 namespace sassafrasferry::entry {
 
-/// Times a request is tried again after workers that did not run it, before it is refused.
-constexpr int mostNotRunTries = 8;
+/// Maximum number of retries after workers that did not run the request; then it is refused.
+constexpr int maxNotRunAttempts = 8;
 
-/// The submission of a request to the dispatcher.
+/// Builds the request's submission to the dispatcher.
 inline policy::Submission submissionOf(const CallerRequest &request)
 {
     policy::Submission submission;
@@ -20,7 +20,7 @@
     return submission;
 }
 
-/// The dispatcher's word for how a request ended at a worker.
+/// Converts the result of sending a request to the result that is reported to the dispatcher.
 inline policy::RunResult runResultOf(const SendResult &sent)
 {
     constexpr int firstFailure = 500;
@@ -43,16 +43,16 @@
     return policy::RunResult::Failed;
 }
 
-/// Time left until the request's deadline, at least a millisecond.
+/// Time left until the request's deadline; at least one millisecond.
 template<RequestEnvironment Environment>
 std::chrono::milliseconds timeLeft(Environment &environment, const CallerRequest &request)
 {
-    constexpr std::chrono::milliseconds least{1};
+    constexpr std::chrono::milliseconds minimum{1};
     const auto left = request.deadline - environment.now();
-    return std::max(least, std::chrono::duration_cast<std::chrono::milliseconds>(left));
+    return std::max(minimum, std::chrono::duration_cast<std::chrono::milliseconds>(left));
 }
 
-/// Gives the slot back, with what became of the request.
+/// Releases the slot and reports the result of the run to the dispatcher.
 template<RequestEnvironment Environment>
 void finishRun(Environment &environment, const CallerRequest &request, const policy::Grant &grant,
                policy::RunResult result, policy::Instant begin)
@@ -74,7 +74,7 @@
         , submission(submissionOf(request))
     {}
 
-    /// Runs to the answer.
+    /// Runs the request until there is an answer for the caller.
     Awaitable<CallerAnswer> run()
     {
         this->environment.reached(this->request, RequestStep::Received);
@@ -83,7 +83,7 @@
             if (const auto *refusal = std::get_if<policy::Refusal>(&slot))
                 co_return this->afterRefusal(*refusal);
             if (std::holds_alternative<SlotCancelled>(slot))
-                co_return ownAnswer(this->outcomeIfGivenUp(), AnswerReason::CallerGone, {});
+                co_return entryAnswer(this->outcomeIfCancelled(), AnswerReason::CallerGone, {});
             const auto grant = std::get<policy::Grant>(std::move(slot));
             this->environment.reached(this->request, RequestStep::SlotHeld);
             const auto begin = this->environment.now();
@@ -101,19 +101,19 @@
     }
 
 private:
-    // The answer, or the wish to try again.
+    // The final answer, or a request for another attempt if `isFinal` is false.
     struct Decision
     {
         bool isFinal = false;
         CallerAnswer answer;
     };
 
-    model::Outcome outcomeIfGivenUp() const
+    model::Outcome outcomeIfCancelled() const
     {
         return this->mayHaveRun ? model::Outcome::Unknown : model::Outcome::NotRun;
     }
 
-    // If a worker's failing answer is at hand, it says more than a refusal.
+    // An error answer of a worker is preferred to the refusal, because it is more informative.
     CallerAnswer afterRefusal(const policy::Refusal &refusal) const
     {
         if (this->hasFailure)
@@ -130,35 +130,35 @@
                 return {true, workerAnswer(sent.answer, grant.workerName)};
             this->failure = workerAnswer(sent.answer, grant.workerName);
             this->hasFailure = true;
-            return this->tryElsewhere(grant);
+            return this->retryOnAnotherWorker(grant);
         case SendState::Broken:
             this->mayHaveRun = true;
-            return this->tryElsewhere(grant);
+            return this->retryOnAnotherWorker(grant);
         case SendState::Refused:
         case SendState::Leaving:
         case SendState::Unreachable:
-            return this->tryAgainAfterNotRun(grant, sent.state);
+            return this->retryAfterNotRun(grant, sent.state);
         case SendState::Preempted:
-            // It waits for its next turn; no retry is counted, since no worker failed.
+            // The request is queued again. The retry budget is not charged, since no worker failed.
             this->mayHaveRun = true;
             this->submission.isRetry = true;
             ++this->submission.preemptions;
             return {};
         case SendState::Cancelled:
-            return {true, ownAnswer(model::Outcome::Unknown, AnswerReason::CallerGone, {})};
+            return {true, entryAnswer(model::Outcome::Unknown, AnswerReason::CallerGone, {})};
         }
-        return {true, ownAnswer(model::Outcome::Unknown, AnswerReason::WorkerSilent, {})};
+        return {true, entryAnswer(model::Outcome::Unknown, AnswerReason::WorkerSilent, {})};
     }
 
-    Decision tryElsewhere(const policy::Grant &grant)
+    Decision retryOnAnotherWorker(const policy::Grant &grant)
     {
-        const bool isHopeless = this->environment.jobFailed(this->request.job, grant.worker);
-        const bool isOver = this->environment.now() >= this->request.deadline;
-        if (isHopeless || isOver || !this->environment.takeRetry(this->request.service)) {
+        const bool isPoisonJob = this->environment.jobFailed(this->request.job, grant.worker);
+        const bool isPastDeadline = this->environment.now() >= this->request.deadline;
+        if (isPoisonJob || isPastDeadline || !this->environment.takeRetry(this->request.service)) {
             if (this->hasFailure)
                 return {true, this->failure};
-            return {true, ownAnswer(model::Outcome::Unknown, AnswerReason::WorkerSilent,
-                                    this->environment.retryAfter(this->request.service))};
+            return {true, entryAnswer(model::Outcome::Unknown, AnswerReason::WorkerSilent,
+                                      this->environment.retryAfter(this->request.service))};
         }
         this->submission.isRetry = true;
         this->submission.avoid.push_back(grant.workerName);
@@ -166,9 +166,9 @@
         return {};
     }
 
-    Decision tryAgainAfterNotRun(const policy::Grant &grant, SendState state)
+    Decision retryAfterNotRun(const policy::Grant &grant, SendState state)
     {
-        if (++this->notRunTries > mostNotRunTries) {
+        if (++this->notRunAttempts > maxNotRunAttempts) {
             const policy::Refusal refusal{{},
                                           policy::RefusalReason::TooManyRefusals,
                                           this->environment.retryAfter(this->request.service)};
@@ -184,10 +184,10 @@
     const CallerRequest &request;
     Cancellation &cancellation;
     policy::Submission submission;
-    bool mayHaveRun = false; // an attempt ended without a whole answer
-    bool hasFailure = false; // `failure` holds a worker's failing answer
+    bool mayHaveRun = false; // an attempt ended without a complete answer
+    bool hasFailure = false; // `failure` holds an error answer of a worker
     CallerAnswer failure;
-    int notRunTries = 0;
+    int notRunAttempts = 0;
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/request/idempotent_flow_test.cpp
+++ b/packages/entry/src/request/idempotent_flow_test.cpp
@@ -1,4 +1,4 @@
-// Retries of idempotent requests: when, where to, and what the caller is told in the end.
+// Retries of idempotent requests on other workers, and the outcome that the caller gets.
 #include "../../tests/fault_world.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 struct Case
 {
     std::string title;
-    std::vector<FakeWorker> workers; // w1, w2, w3, asked in this order
+    std::vector<FakeWorker> workers; // w1, w2, w3, tried in this order
     Outcome outcome;
     int status;
     int runs;
@@ -31,15 +31,15 @@
 const FakeWorker breaks = worker(&FakeWorker::breaksAnswers);
 const FakeWorker down = worker(&FakeWorker::isDown);
 const FakeWorker leaving = worker(&FakeWorker::isLeaving);
-const FakeWorker stops = worker(&FakeWorker::stopsOnce);
+const FakeWorker stops = worker(&FakeWorker::isPreemptedOnce);
 const FakeWorker refuses = worker(&FakeWorker::refuses);
 
 } // namespace
 
-TEST_CASE("what an idempotent request comes to when workers fail")
+TEST_CASE("an idempotent request is retried on other workers and reports its outcome")
 {
-    // Workers are tried in order, each once. A caller is told "not run" only if none of them can
-    // have run it; a worker's own failing answer is passed on if no other worker does better.
+    // Each worker is tried once, in order. The outcome is "not run" only if none of them can have
+    // run the request. An error answer of a worker is forwarded if no other worker succeeds.
     const auto row = GENERATE(values<Case>({
         {"first is good", {good, good, good}, Outcome::Completed, 200, 1},
         {"first fails", {fails, good, good}, Outcome::Completed, 200, 2},
--- a/packages/entry/src/request/keyed_flow.h
+++ b/packages/entry/src/request/keyed_flow.h
@@ -1,5 +1,5 @@
-// The way of a request that is not idempotent: its key is claimed in the store before the first
-// byte leaves, so that it runs at most once, whatever fails between.
+// Serves requests that are not idempotent. The idempotency key is claimed in the store before the
+// request is sent to a worker, so that it runs at most once despite failures.
 #pragma once
 
 #include "answers.h"
@@ -11,7 +11,8 @@
 
 namespace sassafrasferry::entry {
 
-/// The key of a claim: the service and the caller scope it. Header values hold no line feed.
+/// The key of a claim, scoped by service and caller. The line feed is a safe separator, because
+/// header values cannot contain one.
 inline std::string scopedKey(const CallerRequest &request)
 {
     return request.service + "\n" + request.callerId + "\n" + request.idempotencyKey;
@@ -31,23 +32,24 @@
         , submission(submissionOf(request))
     {}
 
-    /// Runs to the answer. Once a claim is written it goes on though the caller has gone.
+    /// Runs the request until there is an answer. Once a claim is written, the request continues
+    /// even if the caller disconnects.
     Awaitable<CallerAnswer> run()
     {
         this->environment.reached(this->request, RequestStep::Received);
         if (this->request.idempotencyKey.empty())
-            co_return ownAnswer(model::Outcome::NotRun, AnswerReason::KeyMissing, {});
+            co_return entryAnswer(model::Outcome::NotRun, AnswerReason::KeyMissing, {});
         if (this->request.callerId.empty())
-            co_return ownAnswer(model::Outcome::NotRun, AnswerReason::CallerMissing, {});
+            co_return entryAnswer(model::Outcome::NotRun, AnswerReason::CallerMissing, {});
         const auto key = scopedKey(this->request);
         this->claim.key = key;
         for (;;) {
-            // The claim is read before a slot is asked for: a refusal may only say "not run" if no
-            // earlier request with this key has run, and a kept answer needs no slot.
+            // The claim is read before a slot is requested: a refusal may only report "not run" if
+            // no earlier request with this key has run, and a stored answer needs no slot.
             const auto existing = co_await this->environment.readClaim(key);
             if (!existing.ok())
-                co_return ownAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
-                                    this->comeBack());
+                co_return entryAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
+                                      this->retryDelay());
             this->environment.reached(this->request, RequestStep::ClaimRead);
             this->version = existing->version;
             if (existing->version != store::absent) {
@@ -66,13 +68,14 @@
 private:
     using MaybeAnswer = std::optional<CallerAnswer>;
 
-    // How soon a caller may come back for an outcome that is not known yet.
-    policy::Duration comeBack()
+    // Delay after which a caller should ask again for an outcome that is not known yet.
+    policy::Duration retryDelay()
     {
         return this->environment.retryAfter(this->request.service);
     }
 
-    // An answer; or none, and the key may be claimed on `version`, or must be read again.
+    // Handles an existing claim. Without an answer, the claim must be read again if `mustReadAgain`
+    // is set; otherwise the key may be claimed on `version`.
     Awaitable<MaybeAnswer> answerExisting(store::VersionedClaim existing)
     {
         this->mustReadAgain = false;
@@ -85,10 +88,10 @@
             answer = co_await this->replay(existing.claim);
             break;
         case policy::ExistingClaim::Mismatch:
-            answer = ownAnswer(model::Outcome::NotRun, AnswerReason::KeyMismatch, {});
+            answer = entryAnswer(model::Outcome::NotRun, AnswerReason::KeyMismatch, {});
             break;
         case policy::ExistingClaim::InProgress:
-            answer = co_await this->waitOn(AnswerReason::InProgress);
+            answer = co_await this->waitBeforeReread(AnswerReason::InProgress);
             break;
         case policy::ExistingClaim::Settle:
             answer = co_await this->settle(existing);
@@ -104,8 +107,8 @@
         if (!kept.answer.object.empty()) {
             auto body = co_await this->environment.getObject(kept.answer.object);
             if (!body.ok())
-                co_return ownAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
-                                    this->comeBack());
+                co_return entryAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
+                                      this->retryDelay());
             kept.answer.body = std::move(*body);
         }
         auto answer = workerAnswer(kept.answer, kept.worker);
@@ -113,14 +116,15 @@
         co_return answer;
     }
 
-    // Waits a little before the claim is read again; an answer if the deadline does not allow it.
-    Awaitable<MaybeAnswer> waitOn(AnswerReason reason)
+    // Waits for the poll interval before the claim is read again. Returns an answer if the deadline
+    // would pass meanwhile or the caller is gone.
+    Awaitable<MaybeAnswer> waitBeforeReread(AnswerReason reason)
     {
         const auto next = this->environment.now() + this->poll;
         if (next >= this->request.deadline || this->cancellation.requested())
-            co_return ownAnswer(model::Outcome::Unknown, reason, this->comeBack());
+            co_return entryAnswer(model::Outcome::Unknown, reason, this->retryDelay());
         co_await this->environment.pause(this->poll);
-        this->poll = std::min(2 * this->poll, KeyedTimes{}.longestPoll);
+        this->poll = std::min(2 * this->poll, KeyedRequestLimits{}.maxPollInterval);
         this->mustReadAgain = true;
         co_return std::nullopt;
     }
@@ -140,18 +144,18 @@
             this->version = settled.current.version;
             break;
         case policy::Settlement::Open:
-            // Waiting is only of use if time alone will tell.
-            if (this->mayTurnOut(existing.claim, settled.word))
-                answer = co_await this->waitOn(AnswerReason::NotSettled);
+            // Waiting only helps if the outcome can become known without further action.
+            if (this->canBecomeKnown(existing.claim, settled.word))
+                answer = co_await this->waitBeforeReread(AnswerReason::NotSettled);
             else
-                answer =
-                    ownAnswer(model::Outcome::Unknown, AnswerReason::NotSettled, this->comeBack());
+                answer = entryAnswer(model::Outcome::Unknown, AnswerReason::NotSettled,
+                                     this->retryDelay());
             break;
         }
         co_return answer;
     }
 
-    bool mayTurnOut(const policy::Claim &existing, const policy::WorkerWord &word) const
+    bool canBecomeKnown(const policy::Claim &existing, const policy::WorkerWord &word) const
     {
         if (word.state == policy::RunState::Running || word.state == policy::RunState::Done)
             return true;
@@ -159,19 +163,19 @@
                && word.workerStartedAt + policy::clockTolerance < existing.claimedAt;
     }
 
-    // Claims the key and sends; tries other workers while none has run it. No answer: another
-    // request came first with its claim.
+    // Claims the key and sends the request, trying other workers until one has run it. Returns no
+    // answer if another request has claimed the key first.
     Awaitable<MaybeAnswer> claimAndSend()
     {
         for (;;) {
             auto slot = co_await this->environment.slot(this->submission, this->cancellation);
             if (const auto *refusal = std::get_if<policy::Refusal>(&slot)) {
-                auto answer = co_await this->tellNotRun(refusalAnswer(*refusal, false));
+                auto answer = co_await this->confirmNotRun(refusalAnswer(*refusal, false));
                 co_return answer;
             }
             if (std::holds_alternative<SlotCancelled>(slot)) {
-                this->markNotRun();
-                co_return ownAnswer(model::Outcome::NotRun, AnswerReason::CallerGone, {});
+                this->scheduleMarkNotRun();
+                co_return entryAnswer(model::Outcome::NotRun, AnswerReason::CallerGone, {});
             }
             const auto grant = std::get<policy::Grant>(std::move(slot));
             this->environment.reached(this->request, RequestStep::SlotHeld);
@@ -195,13 +199,15 @@
         filled.workerAddress = model::toString(grant.address);
         filled.claimedAt = this->environment.unixNow();
         const auto left = timeLeft(this->environment, this->request);
-        filled.startDeadline = filled.claimedAt + std::min(left, KeyedTimes{}.startWindow).count();
+        filled.startDeadline =
+            filled.claimedAt + std::min(left, KeyedRequestLimits{}.startWindow).count();
         filled.startRefusal = this->service.startRefusal;
         filled.settle(policy::ClaimState::Claimed, 0);
         this->mustReadAgain = false;
     }
 
-    // One try at one worker. No answer: try another one, or read the claim again.
+    // Makes one attempt on one worker. Returns no answer if another worker must be tried or the
+    // claim must be read again.
     Awaitable<MaybeAnswer> runOn(policy::Grant grant)
     {
         const auto written = co_await this->environment.writeClaim(this->claim, this->version);
@@ -213,15 +219,16 @@
         this->version = written.version;
         this->hasClaim = true;
         this->environment.reached(this->request, RequestStep::ClaimWritten);
-        // The store may have taken long. This check only saves a useless sending: what holds is
-        // that the worker refuses, since this process may freeze right after the check.
-        const auto margin = KeyedTimes{}.startMargin.count();
+        // The write to the store may have been slow. This check only avoids sending a request that
+        // the worker would refuse. The worker's own check is the guarantee, because this process
+        // may be suspended right after this one.
+        const auto margin = KeyedRequestLimits{}.startMargin.count();
         if (this->environment.unixNow() + margin > this->claim.startDeadline) {
             finishRun(this->environment, this->request, grant, policy::RunResult::Cancelled,
                       this->environment.now());
-            auto late = ownAnswer(model::Outcome::NotRun, AnswerReason::StartTooLate,
-                                  this->environment.retryAfter(this->request.service));
-            auto answer = co_await this->tellNotRun(std::move(late));
+            auto late = entryAnswer(model::Outcome::NotRun, AnswerReason::StartTooLate,
+                                    this->environment.retryAfter(this->request.service));
+            auto answer = co_await this->confirmNotRun(std::move(late));
             co_return answer;
         }
         this->environment.reached(this->request, RequestStep::StartDeadlineChecked);
@@ -231,7 +238,7 @@
         options.startDeadline = this->claim.startDeadline;
         options.timeout = timeLeft(this->environment, this->request);
         this->environment.reached(this->request, RequestStep::FirstByteSent);
-        Cancellation never; // the run goes on and keeps its answer though the caller is gone
+        Cancellation never; // the run continues and its answer is stored if the caller is gone
         const auto sent = co_await this->environment.send(grant, this->request, options, never);
         finishRun(this->environment, this->request, grant, runResultOf(sent), begin);
         MaybeAnswer answer;
@@ -257,31 +264,32 @@
     {
         switch (written.state) {
         case store::WriteState::Conflict:
-            this->hasClaim = false; // the row is another request's now
+            this->hasClaim = false; // another request owns the row now
             this->mustReadAgain = true;
             return std::nullopt;
         case store::WriteState::NotApplied:
-            // This request has not run, but while the store cannot be asked nobody knows whether
-            // a resend has, through another entry VM.
-            this->markNotRun();
-            return ownAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
-                             this->comeBack());
+            // This request has not run, but a resend through another entry VM may have. That cannot
+            // be determined while the store is unavailable.
+            this->scheduleMarkNotRun();
+            return entryAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
+                               this->retryDelay());
         case store::WriteState::Unknown:
         case store::WriteState::Written:
             break;
         }
-        // Nothing was sent, but the claim may stand in the store and hold off a resend.
-        this->environment.leaveOver(this->claim, this->version, LeftOver::MarkNotRun);
-        return ownAnswer(model::Outcome::Unknown, AnswerReason::StoreUncertain, this->comeBack());
+        // Nothing was sent, but the claim may have been written and would then block a resend.
+        this->environment.scheduleFollowUp(this->claim, this->version, ClaimFollowUp::MarkNotRun);
+        return entryAnswer(model::Outcome::Unknown, AnswerReason::StoreUncertain,
+                           this->retryDelay());
     }
 
     Awaitable<MaybeAnswer> afterNotRun(policy::Grant grant, SendState state)
     {
-        if (++this->notRunTries > mostNotRunTries) {
+        if (++this->notRunAttempts > maxNotRunAttempts) {
             const policy::Refusal refusal{{},
                                           policy::RefusalReason::TooManyRefusals,
                                           this->environment.retryAfter(this->request.service)};
-            auto answer = co_await this->tellNotRun(refusalAnswer(refusal, false));
+            auto answer = co_await this->confirmNotRun(refusalAnswer(refusal, false));
             co_return answer;
         }
         this->submission.isRetry = true;
@@ -290,17 +298,17 @@
         co_return std::nullopt;
     }
 
-    // The answer "not run", once the store confirms it. While this request waited, or its process
-    // was frozen, a resend may have taken the key over through another entry VM and have run: a
-    // caller told "not run" then would send the work again under a new key. No answer: read the
-    // claim again.
-    Awaitable<MaybeAnswer> tellNotRun(CallerAnswer answer)
+    // Returns the given "not run" answer after the store has confirmed it. While this request
+    // waited or its process was suspended, a resend through another entry VM may have taken over
+    // the key and run; a caller that is told "not run" would then repeat the work under a new key.
+    // Returns no answer if the claim must be read again.
+    Awaitable<MaybeAnswer> confirmNotRun(CallerAnswer answer)
     {
         if (!this->hasClaim) {
             const auto current = co_await this->environment.readClaim(this->claim.key);
             if (!current.ok())
-                co_return ownAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
-                                    this->comeBack());
+                co_return entryAnswer(model::Outcome::Unknown, AnswerReason::StoreUnavailable,
+                                      this->retryDelay());
             this->mustReadAgain = current->version != this->version;
             if (this->mustReadAgain)
                 co_return std::nullopt;
@@ -318,16 +326,18 @@
             this->mustReadAgain = true;
             co_return std::nullopt;
         }
-        this->markNotRun();
-        co_return ownAnswer(model::Outcome::Unknown, AnswerReason::StoreUncertain,
-                            this->comeBack());
+        this->scheduleMarkNotRun();
+        co_return entryAnswer(model::Outcome::Unknown, AnswerReason::StoreUncertain,
+                              this->retryDelay());
     }
 
-    // Our claim stands, and we know that no worker runs it: say so, so that a resend may run.
-    void markNotRun()
+    // Marks this request's claim as not run in the background, so that a resend may run. Called
+    // only if no worker runs the request.
+    void scheduleMarkNotRun()
     {
         if (std::exchange(this->hasClaim, false))
-            this->environment.leaveOver(this->claim, this->version, LeftOver::MarkNotRun);
+            this->environment.scheduleFollowUp(this->claim, this->version,
+                                               ClaimFollowUp::MarkNotRun);
     }
 
     Awaitable<MaybeAnswer> complete(policy::StoredAnswer stored)
@@ -341,20 +351,20 @@
         if (body.ok()) {
             this->environment.reached(this->request, RequestStep::AnswerStored);
             const auto written = co_await this->environment.writeClaim(this->claim, this->version);
-            // In a conflict another entry VM has settled the claim with the worker's own answer.
+            // On a conflict, another entry VM has settled the claim with the same worker's answer.
             if (written.state == store::WriteState::Written
                 || written.state == store::WriteState::Conflict) {
                 this->environment.reached(this->request, RequestStep::ClaimCompleted);
                 co_return answer;
             }
         }
-        // It ran, and the caller is told so; until the store has the answer, a resend asks the
-        // worker that the claim names.
-        this->environment.leaveOver(this->claim, this->version, LeftOver::StoreAnswer);
+        // The request ran, and the caller gets the answer. Until the answer is stored, a resend
+        // queries the worker named in the claim.
+        this->environment.scheduleFollowUp(this->claim, this->version, ClaimFollowUp::StoreAnswer);
         co_return answer;
     }
 
-    // The worker's answer broke off. It may still have it.
+    // The worker's answer was cut off. Polls the worker for the outcome, which it may still hold.
     Awaitable<MaybeAnswer> afterBroken()
     {
         ClaimSettler<Environment> settler(this->environment);
@@ -366,15 +376,16 @@
             if (settled.settlement == policy::Settlement::Complete)
                 co_return workerAnswer(settled.word.answer, this->claim.worker);
             if (settled.settlement == policy::Settlement::NotRun)
-                co_return ownAnswer(model::Outcome::NotRun, AnswerReason::WorkerSilent,
-                                    this->environment.retryAfter(this->request.service));
-            if (!this->mayTurnOut(this->claim, settled.word))
+                co_return entryAnswer(model::Outcome::NotRun, AnswerReason::WorkerSilent,
+                                      this->environment.retryAfter(this->request.service));
+            if (!this->canBecomeKnown(this->claim, settled.word))
                 break;
             co_await this->environment.pause(this->poll);
-            this->poll = std::min(2 * this->poll, KeyedTimes{}.longestPoll);
+            this->poll = std::min(2 * this->poll, KeyedRequestLimits{}.maxPollInterval);
         }
-        this->environment.leaveOver(this->claim, this->version, LeftOver::AskWorker);
-        co_return ownAnswer(model::Outcome::Unknown, AnswerReason::WorkerSilent, this->comeBack());
+        this->environment.scheduleFollowUp(this->claim, this->version, ClaimFollowUp::QueryWorker);
+        co_return entryAnswer(model::Outcome::Unknown, AnswerReason::WorkerSilent,
+                              this->retryDelay());
     }
 
     Environment &environment;
@@ -382,12 +393,12 @@
     const policy::ServiceSpec &service;
     Cancellation &cancellation;
     policy::Submission submission;
-    policy::Claim claim; // as last written, or about to be
-    std::int64_t version = store::absent; // of the claim's row
-    bool hasClaim = false; // the row holds `claim` in state claimed, and nothing runs it
+    policy::Claim claim; // as last written or about to be written
+    std::int64_t version = store::absent; // version of the claim's row
+    bool hasClaim = false; // the row holds `claim` in state claimed, and no worker runs it
     bool mustReadAgain = false;
-    int notRunTries = 0;
-    std::chrono::milliseconds poll = KeyedTimes{}.firstPoll;
+    int notRunAttempts = 0;
+    std::chrono::milliseconds poll = KeyedRequestLimits{}.initialPollInterval;
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/request/request_step.h
+++ b/packages/entry/src/request/request_step.h
@@ -1,22 +1,22 @@
-// The named points that a request passes. They are the rows of the fault matrix, and each is
-// reported to the environment, so that a test can cause a fault at any of them.
+// The steps of a request. Each is reported to the environment, so that the fault matrix test can
+// inject a fault at any of them.
 #pragma once
 
 #include <sassafrasferry/model/names.h>
 
 namespace sassafrasferry::entry {
 
-/// A point in the life of a request. Those from `ClaimWritten` to `ClaimCompleted`, but for the
-/// sending, are passed only by requests that are not idempotent.
+/// A step of a request. Only requests that are not idempotent reach the steps from `ClaimWritten`
+/// to `ClaimCompleted`, except `FirstByteSent`.
 enum class RequestStep {
     Received,
-    ClaimRead, ///< it is known what became of earlier requests with the same key
-    SlotHeld, ///< admitted, and given a slot of a worker
-    ClaimWritten, ///< the store names the worker that may run it
+    ClaimRead, ///< outcome of earlier requests with the same key has been read
+    SlotHeld, ///< the request is admitted and holds a slot of a worker
+    ClaimWritten, ///< the store holds a claim for the worker that may run the request
     StartDeadlineChecked,
-    FirstByteSent, ///< from here on the worker may have seen it
+    FirstByteSent, ///< from this step on the worker may have received the request
     AnswerWhole,
-    AnswerStored, ///< a large answer's body is in the object store
+    AnswerStored, ///< the body of a large answer is in the object store
     ClaimCompleted, ///< the store holds the answer
     CallerAnswered,
 };
--- a/packages/entry/src/request/request_types.h
+++ b/packages/entry/src/request/request_types.h
@@ -1,4 +1,4 @@
-// A caller's request and its answer, free of HTTP.
+// A caller's request, its answer and the result of sending it to a worker, independent of HTTP.
 #pragma once
 
 #include <sassafrasferry/model/vocabulary.h>
@@ -10,10 +10,10 @@
 
 namespace sassafrasferry::entry {
 
-/// What a caller asks for.
+/// A request of a caller.
 struct CallerRequest
 {
-    std::string id; ///< crosses processes; names the request in every log line
+    std::string id; ///< request ID, passed between processes and written to every log line
     std::string service;
     std::string method;
     std::string target;
@@ -21,16 +21,16 @@
     std::string body;
     std::string callerId;
     std::string idempotencyKey;
-    std::string fingerprint; ///< of method, target and body
-    policy::JobFingerprint job = 0; ///< the same, short
+    std::string fingerprint; ///< SHA-256 of method, target and body
+    policy::JobFingerprint job = 0; ///< leading bits of `fingerprint`
     model::RequestClass requestClass = model::RequestClass::Normal;
     policy::Instant deadline{};
 };
 
-/// Why an answer is not a worker's.
+/// Reason for which the entry VM answers itself instead of forwarding a worker's answer.
 enum class AnswerReason {
     None,
-    Refused, ///< see `CallerAnswer::refusal`
+    Refused, ///< refused by the dispatcher, see `CallerAnswer::refusal`
     KeyMissing,
     CallerMissing,
     KeyMismatch,
@@ -38,8 +38,8 @@
     StoreUnavailable,
     StoreUncertain, ///< the claim may or may not have been written
     StartTooLate, ///< the start deadline passed before the request could be sent
-    WorkerSilent, ///< the answer broke off or did not come in time
-    NotSettled, ///< an earlier run's outcome is not known yet
+    WorkerSilent, ///< the worker's answer was cut off or did not arrive in time
+    NotSettled, ///< the outcome of an earlier run is not known yet
     CallerGone,
     DeadlinePassed,
 };
@@ -62,58 +62,58 @@
                       EnumName{AnswerReason::DeadlinePassed, "deadline-passed"}};
 }
 
-/// What a caller is told.
+/// The answer to a caller.
 struct CallerAnswer
 {
     model::Outcome outcome = model::Outcome::NotRun;
     int status = 503;
     AnswerReason reason = AnswerReason::None;
     policy::RefusalReason refusal = policy::RefusalReason::NoWorkers; ///< if `Refused`
-    policy::Duration retryAfter{}; ///< zero: none is given
+    policy::Duration retryAfter{}; ///< zero if no delay is suggested
     std::string contentType;
     std::string body;
-    std::string worker; ///< that ran it, if one did
-    bool replayed = false; ///< kept from an earlier run
+    std::string worker; ///< worker that ran the request; empty if none did
+    bool replayed = false; ///< true if this is the stored answer of an earlier run
 };
 
-/// The caller gave up while its request waited.
+/// The caller cancelled its request while it waited for a slot.
 struct SlotCancelled
 {};
 
-/// What came of asking for a slot.
+/// Result of requesting a slot.
 using SlotResult = std::variant<policy::Grant, policy::Refusal, SlotCancelled>;
 
-/// How far a request got at a worker.
+/// Result of an attempt to send a request to a worker.
 enum class SendState {
     Answered,
-    Refused, ///< the worker says it has no slot, or that it is too late to start; not run
-    Leaving, ///< the worker says it takes no new work; not run
-    Unreachable, ///< no byte left; not run
-    Broken, ///< it may have run; there is no whole answer
-    Cancelled, ///< given up; it may have run
-    Preempted, ///< stopped to make room for an urgent request; it may have run
+    Refused, ///< the worker has no slot or the start deadline has passed; not run
+    Leaving, ///< the worker accepts no new work; not run
+    Unreachable, ///< no byte was sent; not run
+    Broken, ///< there is no complete answer; the request may have run
+    Cancelled, ///< cancelled by the caller; the request may have run
+    Preempted, ///< stopped in favour of an urgent request; may have run
 };
 
-/// What came of sending a request to a worker.
+/// Result of sending a request to a worker, with the worker's answer.
 struct SendResult
 {
     SendState state = SendState::Broken;
-    policy::StoredAnswer answer; ///< if answered
+    policy::StoredAnswer answer; ///< valid if `state` is `Answered`
 };
 
-/// What a worker is told along with a request.
+/// Parameters sent to a worker with a request, and the time to wait for the answer.
 struct SendOptions
 {
     std::string operationId;
-    policy::UnixMilliseconds startDeadline = 0; ///< zero: none
+    policy::UnixMilliseconds startDeadline = 0; ///< zero for no start deadline
     std::chrono::milliseconds timeout{};
 };
 
-/// What is left to do about a claim when its request has been answered.
-enum class LeftOver {
-    MarkNotRun, ///< nothing was sent: settle it as not run
-    StoreAnswer, ///< it ran, and the answer is not in the store yet
-    AskWorker, ///< it may have run: ask until it is known
+/// Background action that settles a claim after its request was answered.
+enum class ClaimFollowUp {
+    MarkNotRun, ///< nothing was sent: settle the claim as not run
+    StoreAnswer, ///< the request ran, but its answer is not in the store yet
+    QueryWorker, ///< the request may have run: query the worker until the outcome is known
 };
 
 } // namespace sassafrasferry::entry
--- a/packages/entry/src/version/version.cpp
+++ b/packages/entry/src/version/version.cpp
@@ -1,4 +1,4 @@
-// Versions and their succession.
+// Compiles document revisions and publishes the current one.
 #include "version.h"
 
 namespace sassafrasferry::entry {
--- a/packages/entry/src/version/version.h
+++ b/packages/entry/src/version/version.h
@@ -1,5 +1,5 @@
-// One revision of the document as the entry VM uses it. Immutable: a request keeps the version it
-// began with, however many come after.
+// Document revisions in the compiled form that the entry VM uses. A version is immutable, so a
+// request keeps the version it started with when newer ones arrive.
 #pragma once
 
 #include <sassafrasferry/policy/routing_table.h>
@@ -22,23 +22,23 @@
 
 using VersionPointer = std::shared_ptr<const Version>;
 
-/// Parses and compiles texts; an error with all findings if they are not sound.
+/// Parses and compiles the texts. Returns an error with all findings if they are invalid.
 absl::StatusOr<VersionPointer> makeVersion(store::DocumentTexts texts);
 
-/// The version in force. The control thread sets it, traffic threads take it.
+/// Holds the current version, which the control thread sets and traffic threads read.
 class VersionHolder
 {
 public:
     VersionHolder();
 
     VersionPointer current() const;
-    /// Takes a newer version. False, and nothing changes, if it is not newer: a revision never
-    /// goes down, whatever order news arrives in.
+    /// Makes a newer version the current one. Returns false without a change if it is not newer, so
+    /// that the revision never decreases when updates arrive out of order.
     bool advance(VersionPointer version);
 
 private:
-    // Not std::atomic<std::shared_ptr>: in the library of g++ 12 its load unlocks without release,
-    // which the thread sanitizer rightly reports.
+    // A mutex instead of std::atomic<std::shared_ptr>, because load() of the latter in libstdc++ 12
+    // unlocks without release ordering: a data race, reported by the thread sanitizer.
     mutable std::mutex mutex;
     VersionPointer version;
 };
--- a/packages/entry/src/version/version_test.cpp
+++ b/packages/entry/src/version/version_test.cpp
@@ -1,4 +1,4 @@
-// Versions succeed one another in one direction only.
+// Tests of document versions: revisions never decrease and invalid texts are rejected.
 #include "version.h"
 
 #include <catch2/catch.hpp>
@@ -17,10 +17,10 @@
 
 } // namespace
 
-TEST_CASE("a revision never goes down")
+TEST_CASE("the current revision never decreases")
 {
-    // News arrives out of order: from the store, from a peer that lags, again from the store. A
-    // caller that was served by revision 3 must not be served by 2 afterwards.
+    // Updates arrive out of order from the store and from a peer that lags. A caller that was
+    // served with revision 3 must not be served with revision 2 afterwards.
     VersionHolder holder;
     CHECK(holder.advance(versionOf(1)));
     CHECK(holder.advance(versionOf(3)));
@@ -29,7 +29,7 @@
     CHECK(holder.current()->texts.revision == 3);
 }
 
-TEST_CASE("texts with findings make no version")
+TEST_CASE("an invalid document creates no version")
 {
     store::DocumentTexts texts;
     texts.revision = 1;
--- a/packages/entry/tests/fault_matrix.h
+++ b/packages/entry/tests/fault_matrix.h
@@ -1,5 +1,5 @@
-// The cells of the fault matrix and one run of them: a request that is not idempotent, faults at
-// named steps, then the faults healed and the key sent again until its outcome is known.
+// Fault matrix of requests that are not idempotent. A run injects faults at steps of a request,
+// removes them, and resends the key until its outcome is known.
 #pragma once
 
 #include "fault_world.h"
@@ -14,9 +14,9 @@
 enum class Fault {
     None,
     EntryKilled,
-    EntryFrozen, // for ten seconds, while the caller sends again through another entry VM
-    EntryCutOff, // the others take it for gone while it goes on; the caller sends again
-    CallerResends, // through another entry VM, while the first is at it
+    EntryFrozen, // suspended for ten seconds while the caller resends through another entry VM
+    EntryCutOff, // considered dead by the others but still running; the caller resends
+    CallerResends, // through another entry VM while the first request is in progress
     CallerGone,
     StoreDown,
     StoreAnswerLost,
@@ -24,7 +24,7 @@
     StoreReadFails,
     ObjectsDown,
     WorkerDown,
-    WorkerRestarts, // and forgets what it ran
+    WorkerRestarts, // and loses the record of its runs
     WorkerBreaksAnswer,
     WorkerSilent,
     WorkerFails,
@@ -66,49 +66,49 @@
     return std::string(model::nameOf(cell.fault)) + " at " + std::string(model::nameOf(cell.step));
 }
 
-// One run of the matrix.
+// One run of the matrix for given cells.
 class Run
 {
 public:
-    Run(Sabotage sabotage, std::size_t answerBytes)
+    Run(Mutation mutation, std::size_t answerBytes)
     {
-        this->world.sabotage = sabotage;
+        this->world.mutation = mutation;
         this->world.answerBytes = answerBytes;
     }
 
-    // The first violated promise, or an empty string.
+    // Returns the first violated guarantee, or an empty string.
     std::string violation(const std::vector<Cell> &cells)
     {
         this->first.hook = [&](RequestStep step) {
-            this->causeFaults(cells, step);
+            this->injectFaults(cells, step);
         };
         const auto request = keyedRequest(this->world, 10s);
         const auto answer = serveKeyed(this->first, request, this->cancellation);
-        this->note(answer);
+        this->checkAnswer(answer);
         if (answer && this->first.slotsHeld != 0)
-            this->fail("a slot was not given back");
-        this->heal();
+            this->fail("a slot was not released");
+        this->removeFaults();
         if (answer)
-            this->finishLeftOvers();
+            this->runFollowUps();
         this->resendUntilKnown();
         return this->failure;
     }
 
-    const std::set<RequestStep> &seen() const
+    const std::set<RequestStep> &reachedSteps() const
     {
-        return this->first.seen;
+        return this->first.reachedSteps;
     }
 
 private:
-    void causeFaults(const std::vector<Cell> &cells, RequestStep step)
+    void injectFaults(const std::vector<Cell> &cells, RequestStep step)
     {
         for (std::size_t i = 0; i < cells.size(); ++i) {
-            if (cells[i].step == step && this->caused.insert(i).second)
-                this->cause(cells[i].fault);
+            if (cells[i].step == step && this->injected.insert(i).second)
+                this->inject(cells[i].fault);
         }
     }
 
-    void cause(Fault fault)
+    void inject(Fault fault)
     {
         auto &worker = this->world.workers;
         const auto onAll = [&](auto change) {
@@ -119,16 +119,16 @@
         case Fault::None:
             break;
         case Fault::EntryKilled:
-            this->world.silentEntries.insert("e1");
+            this->world.deadEntries.insert("e1");
             throw Killed{};
         case Fault::EntryFrozen:
-            this->world.silentEntries.insert("e1");
-            this->world.pass(3s);
+            this->world.deadEntries.insert("e1");
+            this->world.advance(3s);
             this->resendOnce();
-            this->world.pass(7s);
+            this->world.advance(7s);
             break;
         case Fault::EntryCutOff:
-            this->world.silentEntries.insert("e1");
+            this->world.deadEntries.insert("e1");
             this->resendOnce();
             break;
         case Fault::CallerResends:
@@ -180,7 +180,7 @@
         }
     }
 
-    void heal()
+    void removeFaults()
     {
         this->world.tables.faults = {};
         this->world.objectsDown = false;
@@ -193,12 +193,12 @@
         }
     }
 
-    void finishLeftOvers()
+    void runFollowUps()
     {
-        for (std::size_t i = 0; i < this->first.left.size(); ++i) {
+        for (std::size_t i = 0; i < this->first.followUpClaims.size(); ++i) {
             boost::asio::io_context context(1);
-            fakes::run(context, finishLeftOver(this->first, this->first.left[i],
-                                               this->first.leftWhat[i], 10));
+            fakes::run(context, runFollowUp(this->first, this->first.followUpClaims[i],
+                                            this->first.scheduledFollowUps[i], 10));
         }
     }
 
@@ -209,49 +209,49 @@
         const auto request = keyedRequest(this->world, 2s);
         ++this->concurrent;
         const auto answer = serveKeyed(other, request, never);
-        this->note(answer);
+        this->checkAnswer(answer);
         --this->concurrent;
     }
 
     void resendUntilKnown()
     {
-        constexpr int mostResends = 6;
-        // The first entry VM has ended its request; its process may live on or be gone.
+        constexpr int maxResends = 6;
+        // The first entry VM has finished the request; its process may be alive or dead.
         FakeEntry other(this->world, "e3");
-        this->world.silentEntries.insert("e1");
-        this->world.silentEntries.insert("e2");
+        this->world.deadEntries.insert("e1");
+        this->world.deadEntries.insert("e2");
         Cancellation never;
-        for (int i = 0; i < mostResends; ++i) {
+        for (int i = 0; i < maxResends; ++i) {
             const auto request = keyedRequest(this->world, 10s);
             const auto answer = serveKeyed(other, request, never);
-            this->note(answer);
+            this->checkAnswer(answer);
             if (answer->outcome == Outcome::Completed)
                 return;
-            this->world.pass(5s);
+            this->world.advance(5s);
         }
-        // What a worker ran and has forgotten stays unknown; everything else becomes known.
+        // Only the outcome of a run that a worker lost in a restart may stay unknown.
         if (!this->memoryLost)
-            this->fail("the outcome stays unknown");
+            this->fail("the outcome is still unknown after all resends");
     }
 
-    void note(const std::optional<CallerAnswer> &answer)
+    void checkAnswer(const std::optional<CallerAnswer> &answer)
     {
         const auto starts = this->starts();
         if (starts > 1)
             this->fail("ran " + std::to_string(starts) + " times");
-        // A caller who has gone is told nothing.
+        // A caller that has disconnected receives no answer.
         if (!answer || answer->reason == AnswerReason::CallerGone)
             return;
         if (answer->outcome == Outcome::NotRun && starts > 0 && this->concurrent == 0)
-            this->fail("told not run, and it ran");
+            this->fail("answered not run although the request ran");
         if (answer->outcome != Outcome::Completed)
             return;
         if (starts == 0)
-            this->fail("told completed, and it never ran");
+            this->fail("answered completed although the request never ran");
         if (this->body.empty())
             this->body = answer->body;
         if (answer->body != this->body || answer->body.size() < this->world.answerBytes)
-            this->fail("two answers differ, or one is not whole");
+            this->fail("two answers differ or one is incomplete");
     }
 
     int starts() const
@@ -271,15 +271,15 @@
     World world;
     FakeEntry first{this->world, "e1"};
     Cancellation cancellation;
-    std::set<std::size_t> caused; // cells whose fault has been caused
-    std::string body; // of the first completed answer
+    std::set<std::size_t> injected; // indexes of the cells whose fault was injected
+    std::string body; // body of the first completed answer
     std::string failure;
     bool memoryLost = false;
-    int concurrent = 0; // resends under way inside another request
+    int concurrent = 0; // resends in progress inside another request
 };
 
 constexpr std::size_t small = 8;
-constexpr std::size_t large = 20000; // goes through the object store
+constexpr std::size_t large = 20000; // above the inline limit, so stored in the object store
 
 struct Tally
 {
@@ -311,24 +311,24 @@
     return cells;
 }
 
-inline Tally runSingles(Sabotage sabotage)
+inline Tally runSingleFaults(Mutation mutation)
 {
     Tally tally;
     for (const auto &cell : allCells()) {
         for (const auto bytes : {small, large})
-            tally.add({cell}, Run(sabotage, bytes).violation({cell}));
+            tally.add({cell}, Run(mutation, bytes).violation({cell}));
     }
     return tally;
 }
 
-// Workers that restart, and an entry VM that dies right after: nobody remembers the run.
-inline Tally runRestartsBeforeDeaths(Sabotage sabotage)
+// Workers restart and the entry VM dies right after, so that no process has a record of the run.
+inline Tally runRestartsBeforeDeaths(Mutation mutation)
 {
     Tally tally;
     for (const auto &step : enumNames(RequestStep{})) {
         const std::vector<Cell> cells{{Fault::WorkerRestarts, step.value},
                                       {Fault::EntryKilled, step.value}};
-        tally.add(cells, Run(sabotage, small).violation(cells));
+        tally.add(cells, Run(mutation, small).violation(cells));
     }
     return tally;
 }
--- a/packages/entry/tests/fault_world.h
+++ b/packages/entry/tests/fault_world.h
@@ -1,5 +1,5 @@
-// A small world for requests on a virtual clock: a store, an object store and workers with fault
-// switches, and entry VMs that a test can kill, freeze or cut off at any named step.
+// Simulated environment for requests on a virtual clock: a store, an object store and workers with
+// injectable faults, and entry VMs that a test can kill, suspend or isolate at any step.
 #pragma once
 
 #include "../src/request/idempotent_flow.h"
@@ -14,34 +14,34 @@
 
 namespace sassafrasferry::entry {
 
-/// Thrown where an entry VM dies: nothing after that point happens.
+/// Thrown at the step where an entry VM dies, so that nothing after it is executed.
 struct Killed
 {};
 
-/// Safeguards that a test takes out, to see that the checks notice.
-enum class Sabotage {
+/// Mutations that disable one safeguard, to verify that the checks detect its absence.
+enum class Mutation {
     None,
     WorkersStartLate, ///< workers ignore the start deadline
-    ClaimsUnconditional, ///< the store ignores conditions
+    ClaimsUnconditional, ///< the store ignores the expected version of a write
     ClaimsSkipped, ///< no claim is written
-    BrokenMeansNotRun, ///< a broken answer is taken for "not sent"
-    RestartsHidden, ///< a worker that restarted passes for one that remembers
-    StaleReads, ///< a claim that was read once is not read again
+    BrokenMeansNotRun, ///< an incomplete answer is treated as "not sent"
+    RestartsHidden, ///< a worker hides that it lost its runs in a restart
+    StaleReads, ///< every read of a claim returns the first result
 };
 
-constexpr auto enumNames(Sabotage)
+constexpr auto enumNames(Mutation)
 {
     using model::EnumName;
-    return std::array{EnumName{Sabotage::None, "none"},
-                      EnumName{Sabotage::WorkersStartLate, "workers start late"},
-                      EnumName{Sabotage::ClaimsUnconditional, "claims unconditional"},
-                      EnumName{Sabotage::ClaimsSkipped, "claims skipped"},
-                      EnumName{Sabotage::BrokenMeansNotRun, "broken means not run"},
-                      EnumName{Sabotage::RestartsHidden, "restarts hidden"},
-                      EnumName{Sabotage::StaleReads, "stale reads"}};
+    return std::array{EnumName{Mutation::None, "none"},
+                      EnumName{Mutation::WorkersStartLate, "workers start late"},
+                      EnumName{Mutation::ClaimsUnconditional, "claims unconditional"},
+                      EnumName{Mutation::ClaimsSkipped, "claims skipped"},
+                      EnumName{Mutation::BrokenMeansNotRun, "broken means not run"},
+                      EnumName{Mutation::RestartsHidden, "restarts hidden"},
+                      EnumName{Mutation::StaleReads, "stale reads"}};
 }
 
-/// A worker's run of one operation.
+/// One operation that a worker has run.
 struct FakeRun
 {
     std::string key;
@@ -49,10 +49,10 @@
     int status = 200;
 };
 
-/// A worker and its faults.
+/// A worker with injectable faults.
 struct FakeWorker
 {
-    std::map<std::string, FakeRun> remembered; // by operation; lost by a restart
+    std::map<std::string, FakeRun> remembered; // by operation ID; lost on a restart
     policy::UnixMilliseconds startedAt = 0;
     bool isDown = false;
     bool breaksAnswers = false;
@@ -60,33 +60,33 @@
     bool fails = false;
     bool refuses = false;
     bool isLeaving = false;
-    bool stopsOnce = false; // its first run has to make room for an urgent request
+    bool isPreemptedOnce = false; // its first run is preempted by an urgent request
 };
 
-/// Everything outside the entry VMs.
+/// State outside the entry VMs: store, object store, workers and clock.
 struct World
 {
     fakes::MemoryTables tables;
     std::map<std::string, std::string> objects;
     bool objectsDown = false;
     std::map<std::string, FakeWorker> workers{{"w1", {}}, {"w2", {}}, {"w3", {}}};
-    std::map<std::string, int> startsByKey; // ground truth: runs that any worker began
+    std::map<std::string, int> startsByKey; // ground truth: runs started on any worker
     std::set<std::string> startedOperations;
     policy::Instant now{};
     policy::UnixMilliseconds unixNow = 1000000;
-    std::set<std::string> silentEntries; // seen as gone by the others
+    std::set<std::string> deadEntries; // considered dead by the other entry VMs
     std::size_t answerBytes = 8;
-    Sabotage sabotage = Sabotage::None;
+    Mutation mutation = Mutation::None;
     std::uint64_t lastId = 0;
 
-    void pass(policy::Duration duration)
+    void advance(policy::Duration duration)
     {
         this->now += duration;
         this->unixNow += std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
     }
 };
 
-/// One entry VM in the world. Fulfils `RequestEnvironment`.
+/// A simulated entry VM. Implements `RequestEnvironment`.
 class FakeEntry
 {
 public:
@@ -98,10 +98,10 @@
     {}
 
     Hook hook; ///< called at each step; may throw `Killed`
-    std::set<RequestStep> seen;
+    std::set<RequestStep> reachedSteps;
     int slotsHeld = 0;
-    std::vector<store::VersionedClaim> left; ///< claims to be finished later
-    std::vector<LeftOver> leftWhat;
+    std::vector<store::VersionedClaim> followUpClaims; ///< claims to be settled in the background
+    std::vector<ClaimFollowUp> scheduledFollowUps;
 
     policy::Instant now() const
     {
@@ -115,7 +115,7 @@
 
     Awaitable<void> pause(policy::Duration duration)
     {
-        this->world.pass(duration);
+        this->world.advance(duration);
         co_return;
     }
 
@@ -136,7 +136,7 @@
 
     void reached(const CallerRequest &, RequestStep step)
     {
-        this->seen.insert(step);
+        this->reachedSteps.insert(step);
         if (this->hook)
             this->hook(step);
     }
@@ -191,7 +191,7 @@
         }
         const bool isLate = options.startDeadline != 0
                             && this->world.unixNow > options.startDeadline
-                            && this->world.sabotage != Sabotage::WorkersStartLate;
+                            && this->world.mutation != Mutation::WorkersStartLate;
         if (worker.isLeaving || worker.refuses || isLate) {
             result.state = worker.isLeaving ? SendState::Leaving : SendState::Refused;
             co_return result;
@@ -202,14 +202,14 @@
         run.body = options.operationId + std::string(this->world.answerBytes, '.');
         ++this->world.startsByKey[run.key];
         this->world.startedOperations.insert(options.operationId);
-        if (std::exchange(worker.stopsOnce, false)) {
+        if (std::exchange(worker.isPreemptedOnce, false)) {
             result.state = SendState::Preempted;
             co_return result;
         }
         if (worker.breaksAnswers || worker.isSilent) {
             if (worker.isSilent)
-                this->world.pass(options.timeout);
-            result.state = this->world.sabotage == Sabotage::BrokenMeansNotRun
+                this->world.advance(options.timeout);
+            result.state = this->world.mutation == Mutation::BrokenMeansNotRun
                                ? SendState::Unreachable
                                : SendState::Broken;
             co_return result;
@@ -220,13 +220,13 @@
         co_return result;
     }
 
-    Awaitable<policy::WorkerWord> askWorker(std::string address, std::string operationId)
+    Awaitable<policy::WorkerWord> queryWorker(std::string address, std::string operationId)
     {
         const auto &worker = this->world.workers.at("w" + address.substr(address.size() - 1));
         policy::WorkerWord word;
         if (worker.isDown)
             co_return word;
-        if (this->world.sabotage != Sabotage::RestartsHidden)
+        if (this->world.mutation != Mutation::RestartsHidden)
             word.workerStartedAt = worker.startedAt;
         word.workerNow = this->world.unixNow;
         const auto at = worker.remembered.find(operationId);
@@ -241,7 +241,7 @@
 
     Awaitable<absl::StatusOr<store::VersionedClaim>> readClaim(std::string key)
     {
-        if (this->world.sabotage == Sabotage::StaleReads && this->firstRead)
+        if (this->world.mutation == Mutation::StaleReads && this->firstRead)
             co_return *this->firstRead;
         const std::vector<store::RowKey> keys{store::claimKey(key)};
         const auto rows = co_await this->world.tables.read(keys);
@@ -258,15 +258,15 @@
     Awaitable<store::WriteResult> writeClaim(policy::Claim claim, std::int64_t version)
     {
         store::WriteResult result;
-        if (this->world.sabotage == Sabotage::ClaimsSkipped) {
+        if (this->world.mutation == Mutation::ClaimsSkipped) {
             result.state = store::WriteState::Written;
             co_return result;
         }
-        if (this->world.sabotage == Sabotage::ClaimsUnconditional)
+        if (this->world.mutation == Mutation::ClaimsUnconditional)
             version = this->versionOf(claim.key);
         boost::asio::io_context context(1);
-        // Unanswered writes are pursued for a few milliseconds of real time; whether that was
-        // enough changes what is said, and nothing that is checked.
+        // Writes without a response are retried for a few milliseconds of real time. Whether that
+        // suffices affects the reason of an answer, but no property that is checked.
         store::RowBatcher<fakes::MemoryTables> batcher(context.get_executor(), this->world.tables,
                                                        {policy::WritePace(1e6, 1),
                                                         std::chrono::milliseconds(3),
@@ -307,16 +307,16 @@
     {
         if (claim.entry == this->name)
             return this->active.contains(claim.operationId);
-        return !this->world.silentEntries.contains(claim.entry);
+        return !this->world.deadEntries.contains(claim.entry);
     }
 
-    void leaveOver(policy::Claim claim, std::int64_t version, LeftOver leftOver)
+    void scheduleFollowUp(policy::Claim claim, std::int64_t version, ClaimFollowUp followUp)
     {
         store::VersionedClaim item;
         item.claim = std::move(claim);
         item.version = version;
-        this->left.push_back(std::move(item));
-        this->leftWhat.push_back(leftOver);
+        this->followUpClaims.push_back(std::move(item));
+        this->scheduledFollowUps.push_back(followUp);
     }
 
 private:
@@ -335,7 +335,7 @@
 
 static_assert(RequestEnvironment<FakeEntry>);
 
-/// A keyed request of the one caller and service of the world.
+/// A keyed request of the single simulated caller to the single simulated service.
 inline CallerRequest keyedRequest(const World &world, policy::Duration timeout)
 {
     CallerRequest request;
@@ -351,7 +351,7 @@
     return request;
 }
 
-/// Runs a keyed request through an entry VM to its answer; none if the entry VM was killed.
+/// Serves a keyed request on an entry VM. Returns no answer if the entry VM was killed.
 inline std::optional<CallerAnswer> serveKeyed(FakeEntry &entry, const CallerRequest &request,
                                               Cancellation &cancellation)
 {
