--- a/packages/entry/src/connection/traffic_environment.cpp
+++ b/packages/entry/src/connection/traffic_environment.cpp
@@ -285,7 +285,7 @@
         this->ownExecutor,
         [this, pending = std::move(pending), followUp]() -> Awaitable<void> {
             const bool isDone = co_await runFollowUp(*this, pending, followUp, maxFollowUpAttempts);
-            this->parts.log.write({"claim-pending-over",
+            this->parts.log.write({"claim-left-over",
                                    "",
                                    {{"operation", pending.claim.operationId},
                                     {"worker", pending.claim.worker},
