--- a/packages/entry/src/process/control_lease.cpp
+++ b/packages/entry/src/process/control_lease.cpp
@@ -96,7 +96,7 @@
         if (!this->fleetSnapshot.unavailable.contains(name))
             view.failed.insert(name);
     }
-    view.fleetVersionEverywhere = this->fleetSnapshot.version;
+    view.minEntryFleetVersion = this->fleetSnapshot.version;
     const auto busyHere = this->busyDrainingVms();
     view.busy.insert(busyHere.begin(), busyHere.end());
     this->parts.membership.locked([&](policy::Membership &membership) {
@@ -104,8 +104,8 @@
             const auto peer = membership.peer(name);
             if (!peer)
                 continue;
-            view.revisionEverywhere = std::min(view.revisionEverywhere, peer->revision);
-            view.fleetVersionEverywhere = std::min(view.fleetVersionEverywhere, peer->fleetVersion);
+            view.minEntryRevision = std::min(view.minEntryRevision, peer->revision);
+            view.minEntryFleetVersion = std::min(view.minEntryFleetVersion, peer->fleetVersion);
             view.busy.insert(peer->busy.begin(), peer->busy.end());
         }
     });
--- a/packages/fleet/include/sassafrasferry/fleet/fleet_view.h
+++ b/packages/fleet/include/sassafrasferry/fleet/fleet_view.h
@@ -18,10 +18,10 @@
 {
     const model::Document &document;
     std::set<std::string> failed; ///< VMs that are out of service without a row
-    std::int64_t revisionEverywhere = 0; ///< the lowest document revision of any live entry VM
+    std::int64_t minEntryRevision = 0; ///< the lowest document revision of any live entry VM
     std::int64_t now = 0; ///< Unix milliseconds; also the fencing token of new platform orders
     /// The lowest version of the fleet head row that any live entry VM has read.
-    std::int64_t fleetVersionEverywhere = std::numeric_limits<std::int64_t>::max();
+    std::int64_t minEntryFleetVersion = std::numeric_limits<std::int64_t>::max();
     std::set<std::string> busy{}; ///< VMs out of service that still have requests from an entry VM
     std::vector<policy::PoolWish> wishes{}; ///< of pools whose demand calls for more or fewer VMs
 };
--- a/packages/fleet/include/sassafrasferry/fleet/vm_mover.h
+++ b/packages/fleet/include/sassafrasferry/fleet/vm_mover.h
@@ -67,7 +67,7 @@
 
     static bool isKnownToAll(const VmRow &vm, const FleetView &view)
     {
-        return view.fleetVersionEverywhere >= vm.version;
+        return view.minEntryFleetVersion >= vm.version;
     }
 
     Awaitable<void> removeVm(VmRow vm, store::Condition fence)
@@ -119,7 +119,7 @@
                                  store::Condition fence)
     {
         // An entry VM that has not adopted the change yet would still use the VM in the old pool.
-        if (view.revisionEverywhere < vm.revision)
+        if (view.minEntryRevision < vm.revision)
             co_return;
         if (report.phase == VmPhase::Empty)
             this->logFailedOrder(vm.name, co_await this->control.resume(vm.name, vm.order));
--- a/packages/fleet/src/wave_runner_test.cpp
+++ b/packages/fleet/src/wave_runner_test.cpp
@@ -249,8 +249,8 @@
     FaultyTables tables{run.tables, faults};
     FaultyVms vms{run.vms, faults};
     WaveRunner<FaultyTables, FaultyVms> runner(tables, vms, [](const FleetDecision &) {});
-    const auto step = [&](std::int64_t revisionEverywhere) {
-        const FleetView view{run.fleet, {}, revisionEverywhere, 5};
+    const auto step = [&](std::int64_t minEntryRevision) {
+        const FleetView view{run.fleet, {}, minEntryRevision, 5};
         boost::asio::io_context context(1);
         (void)fakes::run(context, runner.step(view, run.fence));
         run.vms.tick();
--- a/packages/fleet/tests/loan_world.h
+++ b/packages/fleet/tests/loan_world.h
@@ -109,10 +109,10 @@
         FaultyVms faultyVms{this->vms, faults};
         Runner runner(faultyTables, faultyVms, [](const FleetDecision &) {});
         FleetView view{this->fleet, this->failed, 1, ++this->now};
-        view.fleetVersionEverywhere = this->entries[0].version;
+        view.minEntryFleetVersion = this->entries[0].version;
         if (!this->isSecondSilent)
-            view.fleetVersionEverywhere =
-                std::min(view.fleetVersionEverywhere, this->entries[1].version);
+            view.minEntryFleetVersion =
+                std::min(view.minEntryFleetVersion, this->entries[1].version);
         view.busy = this->busy;
         view.wishes = this->wishes;
         boost::asio::io_context context(1);
