--- a/packages/entry/src/connection/traffic_environment.cpp
+++ b/packages/entry/src/connection/traffic_environment.cpp
@@ -151,12 +151,12 @@
 Awaitable<SlotResult> TrafficEnvironment::slot(policy::Submission submission,
                                                Cancellation &cancellation)
 {
-    return this->parts.dispatcher.slot(std::move(submission), cancellation);
+    return this->parts.dispatcher.acquireSlot(std::move(submission), cancellation);
 }
 
 void TrafficEnvironment::finish(const policy::RunReport &report)
 {
-    this->parts.metrics.sent(report.result);
+    this->parts.metrics.recordRun(report.result);
     this->parts.dispatcher.finish(report, this->now());
 }
 
@@ -183,7 +183,7 @@
                                                const CallerRequest &request, SendOptions options,
                                                Cancellation &cancellation)
 {
-    this->parts.metrics.routed(grant.reason);
+    this->parts.metrics.recordRoute(grant.reason);
     this->parts.log.write({"route",
                            request.id,
                            {{"service", request.service},
@@ -269,9 +269,9 @@
     this->parts.membership.setActive(operationId, isActive);
 }
 
-bool TrafficEnvironment::mayBeActive(const policy::Claim &claim)
+bool TrafficEnvironment::isPossiblyActive(const policy::Claim &claim)
 {
-    return this->parts.membership.mayBeActive(claim);
+    return this->parts.membership.isPossiblyActive(claim);
 }
 
 void TrafficEnvironment::scheduleFollowUp(policy::Claim claim, std::int64_t version,
--- a/packages/entry/src/connection/traffic_environment.h
+++ b/packages/entry/src/connection/traffic_environment.h
@@ -3,7 +3,7 @@
 
 #include "../process/control_store.h"
 #include "../process/decision_log.h"
-#include "../process/in_flight.h"
+#include "../process/in_flight_requests.h"
 #include "../process/metrics.h"
 #include "../process/shared_dispatcher.h"
 #include "../process/shared_membership.h"
@@ -23,7 +23,7 @@
     ControlStore &store;
     DecisionLog &log;
     Metrics &metrics;
-    InFlight inFlight{};
+    InFlightRequests inFlight{};
     std::atomic<std::uint64_t> lastId{0}; ///< last ID given to a request or operation
     std::atomic<std::size_t> leftOvers{0}; ///< claims being settled in the background
 };
@@ -59,7 +59,7 @@
     Awaitable<absl::StatusOr<std::string>> getObject(std::string name);
 
     void setActive(const std::string &operationId, bool isActive);
-    bool mayBeActive(const policy::Claim &claim);
+    bool isPossiblyActive(const policy::Claim &claim);
     void scheduleFollowUp(policy::Claim claim, std::int64_t version, ClaimFollowUp followUp);
 
     ProcessParts &process();
--- a/packages/entry/src/process/in_flight.cpp
+++ b/packages/entry/src/process/in_flight_requests.cpp
@@ -1,27 +1,27 @@
 // Registers and lists requests in flight.
-#include "in_flight.h"
+#include "in_flight_requests.h"
 
 namespace sassafrasferry::entry {
 
-InFlight::Mark::Mark(InFlight &requests, std::string requestId)
+InFlightRequests::Registration::Registration(InFlightRequests &requests, std::string requestId)
     : requests(requests)
 {
     const std::lock_guard lock(requests.mutex);
     this->number = ++requests.lastNumber;
-    requests.marked.emplace(this->number, std::move(requestId));
+    requests.requestIds.emplace(this->number, std::move(requestId));
 }
 
-InFlight::Mark::~Mark()
+InFlightRequests::Registration::~Registration()
 {
     const std::lock_guard lock(this->requests.mutex);
-    this->requests.marked.erase(this->number);
+    this->requests.requestIds.erase(this->number);
 }
 
-std::vector<std::string> InFlight::ids() const
+std::vector<std::string> InFlightRequests::ids() const
 {
     const std::lock_guard lock(this->mutex);
     std::vector<std::string> all;
-    for (const auto &[number, id] : this->marked)
+    for (const auto &[number, id] : this->requestIds)
         all.push_back(id);
     return all;
 }
--- a/packages/entry/src/process/in_flight.h
+++ b/packages/entry/src/process/in_flight_requests.h
@@ -10,20 +10,20 @@
 namespace sassafrasferry::entry {
 
 /// Registry of requests in flight. Thread-safe.
-class InFlight
+class InFlightRequests
 {
 public:
     /// Registers a request as in flight for the lifetime of this object.
-    class Mark
+    class Registration
     {
     public:
-        Mark(InFlight &requests, std::string requestId);
-        ~Mark();
-        Mark(const Mark &) = delete;
-        Mark &operator=(const Mark &) = delete;
+        Registration(InFlightRequests &requests, std::string requestId);
+        ~Registration();
+        Registration(const Registration &) = delete;
+        Registration &operator=(const Registration &) = delete;
 
     private:
-        InFlight &requests;
+        InFlightRequests &requests;
         std::uint64_t number;
     };
 
@@ -32,7 +32,7 @@
 
 private:
     mutable std::mutex mutex; // guards all below
-    std::map<std::uint64_t, std::string> marked;
+    std::map<std::uint64_t, std::string> requestIds;
     std::uint64_t lastNumber = 0;
 };
 
--- a/packages/entry/src/process/in_flight_test.cpp
+++ b/packages/entry/src/process/in_flight_requests_test.cpp
@@ -1,5 +1,5 @@
 // Tracking of requests in flight.
-#include "in_flight.h"
+#include "in_flight_requests.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,11 +10,11 @@
 TEST_CASE("requests in flight are listed oldest first, including two with the same id")
 {
     using Ids = std::vector<std::string>;
-    InFlight requests;
+    InFlightRequests requests;
     CHECK(requests.ids().empty());
-    std::optional<InFlight::Mark> first(std::in_place, requests, "a");
-    const InFlight::Mark second(requests, "b");
-    const InFlight::Mark third(requests, "a");
+    std::optional<InFlightRequests::Registration> first(std::in_place, requests, "a");
+    const InFlightRequests::Registration second(requests, "b");
+    const InFlightRequests::Registration third(requests, "a");
     CHECK(requests.ids() == Ids{"a", "b", "a"});
     first.reset();
     CHECK(requests.ids() == Ids{"b", "a"});
--- a/packages/entry/src/process/metrics.cpp
+++ b/packages/entry/src/process/metrics.cpp
@@ -61,8 +61,8 @@
         this->latencies.emplace_back(accumulators::extended_p_square_probabilities = quantiles);
 }
 
-void Metrics::answered(model::RequestClass requestClass, const CallerAnswer &answer,
-                       policy::Duration latency)
+void Metrics::recordAnswer(model::RequestClass requestClass, const CallerAnswer &answer,
+                           policy::Duration latency)
 {
     const std::lock_guard lock(this->mutex);
     ++this->outcomes[answer.outcome];
@@ -72,13 +72,13 @@
         this->latencies[static_cast<std::size_t>(requestClass)](policy::seconds(latency));
 }
 
-void Metrics::routed(policy::RouteReason reason)
+void Metrics::recordRoute(policy::RouteReason reason)
 {
     const std::lock_guard lock(this->mutex);
     ++this->routes[reason];
 }
 
-void Metrics::sent(policy::RunResult result)
+void Metrics::recordRun(policy::RunResult result)
 {
     const std::lock_guard lock(this->mutex);
     ++this->runs[result];
--- a/packages/entry/src/process/metrics.h
+++ b/packages/entry/src/process/metrics.h
@@ -31,10 +31,10 @@
 public:
     Metrics();
 
-    void answered(model::RequestClass requestClass, const CallerAnswer &answer,
-                  policy::Duration latency);
-    void routed(policy::RouteReason reason);
-    void sent(policy::RunResult result);
+    void recordAnswer(model::RequestClass requestClass, const CallerAnswer &answer,
+                      policy::Duration latency);
+    void recordRoute(policy::RouteReason reason);
+    void recordRun(policy::RunResult result);
 
     /// All metrics in the Prometheus text format.
     std::string exposition(const std::vector<MetricSample> &samples);
--- a/packages/entry/src/process/shared_dispatcher.cpp
+++ b/packages/entry/src/process/shared_dispatcher.cpp
@@ -18,8 +18,8 @@
     this->leavingHandler = std::move(handler);
 }
 
-Awaitable<SlotResult> SharedDispatcher::slot(policy::Submission submission,
-                                             Cancellation &cancellation)
+Awaitable<SlotResult> SharedDispatcher::acquireSlot(policy::Submission submission,
+                                                    Cancellation &cancellation)
 {
     if (cancellation.requested())
         co_return SlotCancelled{};
--- a/packages/entry/src/process/shared_dispatcher.h
+++ b/packages/entry/src/process/shared_dispatcher.h
@@ -30,7 +30,7 @@
     void setLeavingHandler(LeavingHandler handler);
 
     /// Returns a slot for a request, or its refusal. Suspends while the request is queued.
-    Awaitable<SlotResult> slot(policy::Submission submission, Cancellation &cancellation);
+    Awaitable<SlotResult> acquireSlot(policy::Submission submission, Cancellation &cancellation);
 
     /// Calls `stop` once, on any thread, when the granted request is preempted; immediately if it
     /// has been preempted before this call.
--- a/packages/entry/src/process/shared_dispatcher_test.cpp
+++ b/packages/entry/src/process/shared_dispatcher_test.cpp
@@ -52,13 +52,15 @@
         this->dispatcher.change([](policy::Dispatcher &inner) {
             return inner.adopt(table(), std::chrono::steady_clock::now());
         });
-        auto slot = this->dispatcher.slot(requestOf(model::RequestClass::Background), this->never);
+        auto slot =
+            this->dispatcher.acquireSlot(requestOf(model::RequestClass::Background), this->never);
         this->running = std::get<policy::Grant>(fakes::run(this->context, std::move(slot)));
         this->context.restart();
         http::asio::co_spawn(
             this->context,
             [this] {
-                return this->dispatcher.slot(requestOf(model::RequestClass::Urgent), this->never);
+                return this->dispatcher.acquireSlot(requestOf(model::RequestClass::Urgent),
+                                                    this->never);
             },
             http::asio::detached);
         this->context.poll();
--- a/packages/entry/src/process/shared_membership.cpp
+++ b/packages/entry/src/process/shared_membership.cpp
@@ -19,7 +19,7 @@
         this->active.erase(operationId);
 }
 
-bool SharedMembership::mayBeActive(const policy::Claim &claim)
+bool SharedMembership::isPossiblyActive(const policy::Claim &claim)
 {
     const std::lock_guard lock(this->mutex);
     if (claim.entry == this->self)
--- a/packages/entry/src/process/shared_membership.h
+++ b/packages/entry/src/process/shared_membership.h
@@ -26,7 +26,7 @@
 
     void setActive(const std::string &operationId, bool isActive);
     /// True if the request that made the claim may still be running on this or another entry VM.
-    bool mayBeActive(const policy::Claim &claim);
+    bool isPossiblyActive(const policy::Claim &claim);
 
 private:
     std::mutex mutex;
--- a/packages/entry/src/request/caller_handler.cpp
+++ b/packages/entry/src/request/caller_handler.cpp
@@ -232,12 +232,13 @@
         response.set(http::header::outcome, "not-run");
         co_return response;
     }
-    const InFlight::Mark mark(environment.process().inFlight, context->request.id);
+    const InFlightRequests::Registration registration(environment.process().inFlight,
+                                                      context->request.id);
     disconnect->onDisconnect([context] { context->cancellation.request(); });
     const auto answer = co_await serve(environment, context);
     environment.reached(context->request, RequestStep::CallerAnswered);
     const auto latency = environment.now() - begin;
-    environment.process().metrics.answered(context->request.requestClass, answer, latency);
+    environment.process().metrics.recordAnswer(context->request.requestClass, answer, latency);
     logAnswer(environment, *context, answer, latency);
     co_return responseOf(answer, context->request.id);
 }
--- a/packages/entry/src/request/environment.h
+++ b/packages/entry/src/request/environment.h
@@ -86,7 +86,7 @@
     {environment.setActive(text, true)};
     // Returns true if the request that wrote the claim may still be in progress.
     {
-        environment.mayBeActive(claim)
+        environment.isPossiblyActive(claim)
         } -> std::same_as<bool>;
     // Settles a claim in the background after its request was answered.
     {environment.scheduleFollowUp(claim, version, followUp)};
--- a/packages/entry/src/request/keyed_flow.h
+++ b/packages/entry/src/request/keyed_flow.h
@@ -79,7 +79,7 @@
     Awaitable<MaybeAnswer> answerExisting(store::VersionedClaim existing)
     {
         this->mustReadAgain = false;
-        const bool isActive = this->environment.mayBeActive(existing.claim);
+        const bool isActive = this->environment.isPossiblyActive(existing.claim);
         const auto decision =
             policy::decideExisting(existing.claim, this->request.fingerprint, isActive);
         MaybeAnswer answer;
--- a/packages/entry/tests/fault_world.h
+++ b/packages/entry/tests/fault_world.h
@@ -303,7 +303,7 @@
             this->active.erase(operationId);
     }
 
-    bool mayBeActive(const policy::Claim &claim)
+    bool isPossiblyActive(const policy::Claim &claim)
     {
         if (claim.entry == this->name)
             return this->active.contains(claim.operationId);
