--- a/packages/entry/src/connection/traffic_environment.cpp
+++ b/packages/entry/src/connection/traffic_environment.cpp
@@ -194,14 +194,14 @@
                             {"overflow", grant.overflowed ? "yes" : "no"},
                             {"operation", options.operationId}}});
     auto abort = std::make_shared<http::Abort>();
-    cancellation.whenRequested([abort] { abort->abort(); });
+    cancellation.onCancel([abort] { abort->abort(); });
     auto isPreempted = std::make_shared<bool>(false);
     if (grant.preemptible)
         this->parts.dispatcher.whenPreempted(grant.id, this->preemptionHandler(abort, isPreempted));
     auto message = upstreamRequest(request, options);
     auto exchange = co_await this->upstreams.client(grant.address)
                         .exchange(std::move(message), options.timeout, abort);
-    cancellation.whenRequested(nullptr);
+    cancellation.onCancel(nullptr);
     auto result = sendResult(exchange, abort->aborted());
     if (result.state == SendState::Cancelled && *isPreempted && !cancellation.requested())
         result.state = SendState::Preempted;
@@ -277,7 +277,7 @@
 void TrafficEnvironment::scheduleFollowUp(policy::Claim claim, std::int64_t version,
                                           ClaimFollowUp followUp)
 {
-    ++this->parts.leftOvers;
+    ++this->parts.pendingFollowUps;
     store::VersionedClaim pending;
     pending.claim = std::move(claim);
     pending.version = version;
@@ -290,7 +290,7 @@
                                    {{"operation", pending.claim.operationId},
                                     {"worker", pending.claim.worker},
                                     {"settled", isDone ? "yes" : "no"}}});
-            --this->parts.leftOvers;
+            --this->parts.pendingFollowUps;
         },
         asio::detached);
 }
--- a/packages/entry/src/connection/traffic_environment.h
+++ b/packages/entry/src/connection/traffic_environment.h
@@ -25,7 +25,7 @@
     Metrics &metrics;
     InFlightRequests inFlight{};
     std::atomic<std::uint64_t> lastId{0}; ///< last ID given to a request or operation
-    std::atomic<std::size_t> leftOvers{0}; ///< claims being settled in the background
+    std::atomic<std::size_t> pendingFollowUps{0}; ///< claims being settled in the background
 };
 
 /// Implements `RequestEnvironment` for one traffic thread.
--- a/packages/entry/src/process/admin_metrics.cpp
+++ b/packages/entry/src/process/admin_metrics.cpp
@@ -65,7 +65,7 @@
                 static_cast<double>(this->parts.store.transactions())),
         gauge("sassafrasferry_claims_left_over",
               "Claims being finished after their request was answered.",
-              static_cast<double>(this->parts.leftOvers))};
+              static_cast<double>(this->parts.pendingFollowUps))};
     const auto pools = this->parts.dispatcher.locked([](policy::Dispatcher &dispatcher) {
         return dispatcher.poolStatus(std::chrono::steady_clock::now());
     });
--- a/packages/entry/src/process/daemon.cpp
+++ b/packages/entry/src/process/daemon.cpp
@@ -138,13 +138,13 @@
     for (const auto &id : this->parts.inFlight.ids())
         this->parts.log.write({"cut", id, {{"why", why}}});
     LOG(WARNING) << "event=cut busy=" << this->callerServer->busySessions()
-                 << " claims=" << this->parts.leftOvers << " why=" << why;
+                 << " claims=" << this->parts.pendingFollowUps << " why=" << why;
     this->exitCode = exit_code::interrupted;
 }
 
 bool Daemon::isIdle() const
 {
-    return this->callerServer->sessionCount() == 0 && this->parts.leftOvers == 0;
+    return this->callerServer->sessionCount() == 0 && this->parts.pendingFollowUps == 0;
 }
 
 Awaitable<void> Daemon::stop()
--- a/packages/entry/src/process/shared_dispatcher.cpp
+++ b/packages/entry/src/process/shared_dispatcher.cpp
@@ -37,9 +37,9 @@
         co_await http::awaitCallback<SlotResult>([this, id, &cancellation, &lock](Done done) {
             this->waiters.emplace(id, std::move(done));
             lock.unlock();
-            cancellation.whenRequested([this, id] { this->cancel(id); });
+            cancellation.onCancel([this, id] { this->cancel(id); });
         });
-    cancellation.whenRequested(nullptr);
+    cancellation.onCancel(nullptr);
     co_return result;
 }
 
--- a/packages/entry/src/request/cancellation.h
+++ b/packages/entry/src/request/cancellation.h
@@ -12,7 +12,7 @@
 public:
     /// Sets the action to run on cancellation while an operation is awaited. Pass nullptr when the
     /// operation has ended.
-    void whenRequested(std::function<void()> action)
+    void onCancel(std::function<void()> action)
     {
         this->action = std::move(action);
     }
