--- a/packages/coordination/include/sassafrasferry/coordination/load_watch.h
+++ b/packages/coordination/include/sassafrasferry/coordination/load_watch.h
@@ -8,7 +8,8 @@
 
 namespace sassafrasferry::coordination {
 
-/// The observed leader and the reaction to a stall.
+/// Parameters of `watchLoad`: how to read this leader's loading progress, and what to do if it
+/// stalls.
 struct LoadWatch
 {
     std::function<std::size_t()> steps; ///< returns the number of table reads completed so far
@@ -18,9 +19,11 @@
     std::function<void()> onStall;
 };
 
-/// Calls `onStall` when loading stalls. A leader that renews its lease but never finishes loading
-/// keeps all others from leading, and callers wait forever. Time without a confirmed lease does not
-/// count: while the store confirms the lease, another entry VM can probably read the tables.
+/// Calls `onStall` when loading stalls, and again on each tick while the stall lasts, until
+/// `isDone` returns true. A leader that renews its lease but never finishes loading keeps all
+/// others from leading, and callers wait forever. Only uninterrupted time in which the store
+/// confirms the lease counts: then another entry VM can probably read the tables, while without it
+/// the store may be the cause.
 inline Awaitable<void> watchLoad(LoadWatch watch)
 {
     static constexpr Duration maxConfirmationAge = std::chrono::milliseconds(1000);
--- a/packages/entry/src/request/claim_settler.h
+++ b/packages/entry/src/request/claim_settler.h
@@ -34,7 +34,8 @@
         : environment(environment)
     {}
 
-    /// Result of querying the worker once.
+    /// Result of one attempt to settle a claim: the worker's reply, and `Open` if the claim could
+    /// not be settled or written.
     struct Settled
     {
         policy::Settlement settlement = policy::Settlement::Open;
--- a/packages/entry/src/request/keyed_flow.h
+++ b/packages/entry/src/request/keyed_flow.h
@@ -395,7 +395,9 @@
     policy::Submission submission;
     policy::Claim claim; // as last written or about to be written
     std::int64_t version = store::absent; // version of the claim's row
-    bool hasClaim = false; // the row holds `claim` in state claimed, and no worker runs it
+    // The row holds a claim of this request in state claimed, unless it was changed since. Read
+    // only while no worker runs the request.
+    bool hasClaim = false;
     bool mustReadAgain = false;
     int notRunAttempts = 0;
     std::chrono::milliseconds poll = KeyedRequestLimits{}.initialPollInterval;
--- a/packages/entry/src/request/request_step.h
+++ b/packages/entry/src/request/request_step.h
@@ -6,8 +6,8 @@
 
 namespace sassafrasferry::entry {
 
-/// A step of a request. Only requests that are not idempotent reach the steps from `ClaimWritten`
-/// to `ClaimCompleted`, except `FirstByteSent`.
+/// A step of a request. Idempotent requests skip `ClaimRead`, `ClaimWritten`,
+/// `StartDeadlineChecked`, `AnswerStored` and `ClaimCompleted`.
 enum class RequestStep {
     Received,
     ClaimRead, ///< outcome of earlier requests with the same key has been read
@@ -16,7 +16,7 @@
     StartDeadlineChecked,
     FirstByteSent, ///< from this step on the worker may have received the request
     AnswerWhole,
-    AnswerStored, ///< the body of a large answer is in the object store
+    AnswerStored, ///< the body is in the object store if it is too large for the claim's row
     ClaimCompleted, ///< the store holds the answer
     CallerAnswered,
 };
